--- a/soak/src/main.rs
+++ b/fault-soak/src/main.rs
@@ -42,7 +42,7 @@
     #[arg(long, default_value_t = 8)]
     servers: usize,
     /// The node's program.
-    #[arg(long, default_value = "target/release/applemill")]
+    #[arg(long, default_value = "target/release/wheelpath-node")]
     program: PathBuf,
     /// Plays the troubles of this file in place of those of the seed.
     #[arg(long)]
--- a/soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -90,7 +90,7 @@
 impl Run {
     async fn play(plan: &Plan) -> Outcome {
         let folder =
-            std::env::temp_dir().join(format!("wheelpath-soak-{}-{}", std::process::id(), plan.seed));
+            std::env::temp_dir().join(format!("wheelpath-fault-soak-{}-{}", std::process::id(), plan.seed));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         let record = Arc::new(Record::new(Instant::now()));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,49 +1,67 @@
-//! The decisions of an HTTP load balancer that runs as a small bank of proxies.
+//! The decisions of an HTTP load balancer that runs as a small bank of nodes, and the forms that they are told in.
 //!
-//! [`Balancer`] is a state machine without I/O, clock, threads or globals: a host tells it what happened
-//! ([`interface::Event`]) and when, and carries out the [`interface::Action`]s it gets back. Nodes share nothing;
-//! the same seed and events give the same actions. How it decides is told in `docs/design.md`.
+//! [`policy`] decides: [`Balancer`](policy::Balancer) is a state machine without I/O, clock, threads or globals. A host
+//! tells it what happened ([`policy::Event`]) and when, and carries out the [`policy::Action`]s it gets back. Nodes
+//! share nothing; the same seed and events give the same actions. [`settings_file`] reads the settings that both hosts,
+//! the node and the simulator adapter, are given. [`simulator`] is the simulator's text protocol.
 //!
 //! ```
-//! use birchspoke::Balancer;
-//! use birchspoke::interface::{Action, BackendId, Entry, Event, Health, ListKind, Outcome, Request, RequestId};
+//! use wheelpath::policy::{
+//!     Action, AttemptOutcome, Balancer, EndpointId, EndpointState, EndpointUpdate, Event, Request, RequestId,
+//!     WatchUpdate,
+//! };
 //!
-//! // Settings can be built by hand; the codec reads them from JSON and fills in defaults.
+//! // Settings can be built by hand; the reader takes them from JSON and fills in defaults.
 //! let text = r#"{"classes": [{"name": "page", "semantics": "idempotent", "objectiveMs": 300, "hardLimitMs": 900}],
 //!                "rules": {"coldMs": 20000, "startCapacity": 0.2, "fallMultiple": 3, "fallMs": 2000}}"#;
-//! let (settings, _names) = birchspoke::wire::settings(text)?;
+//! let (settings, _names) = wheelpath::settings_file::read(text)?;
 //! let mut balancer = Balancer::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //! balancer.handle(0.0, Event::Start, &mut actions);
 //!
-//! // The list names one backend, up for a long time.
-//! let backend = BackendId(42);
-//! let entry = Entry { backend, zone: 0, cell: 0, health: Health::Up, units: 1.0, ready_at_ms: 0.0 };
-//! balancer.handle(0.0, Event::List { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
+//! // Discovery names one endpoint, up for a long time.
+//! let endpoint = EndpointId(42);
+//! let listed =
+//!     EndpointUpdate { endpoint, zone: 0, cell: 0, state: EndpointState::Active, weight: 1.0, started_at_ms: 0.0 };
+//! let changed = Event::EndpointsChanged { update: WatchUpdate::Snapshot, endpoints: vec![listed] };
+//! balancer.handle(0.0, changed, &mut actions);
 //!
 //! // A request arrives at 10 ms and is sent there.
 //! actions.clear();
 //! let id = RequestId(1);
 //! let request = Request {
-//!     id, class: 0, key: Some(5), deadline_ms: 910.0, effort_ms: None, retry: false, waited_ms: 0.0,
+//!     id,
+//!     class: 0,
+//!     key: Some(5),
+//!     deadline_ms: 910.0,
+//!     estimated_cost_ms: None,
+//!     is_retry: false,
+//!     queued_ms: 0.0,
 //! };
 //! balancer.handle(10.0, Event::Request(request), &mut actions);
-//! assert!(matches!(actions[0], Action::Send { id: RequestId(1), backend: BackendId(42), .. }));
+//! assert!(matches!(actions[0], Action::SendAttempt { id: RequestId(1), endpoint: EndpointId(42), .. }));
 //!
 //! // The answer reaches the client by itself: nothing is left to do.
 //! actions.clear();
-//! balancer.handle(60.0, Event::Ended {
-//!     id, attempt: 0, backend, outcome: Outcome::Done, last: true, elapsed_ms: 50.0, load: Default::default(),
-//! }, &mut actions);
+//! let ended = Event::AttemptEnded {
+//!     id,
+//!     attempt: 0,
+//!     endpoint,
+//!     outcome: AttemptOutcome::Answered,
+//!     request_finished: true,
+//!     elapsed_ms: 50.0,
+//!     load: Default::default(),
+//! };
+//! balancer.handle(60.0, ended, &mut actions);
 //! assert!(actions.is_empty());
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-pub mod balance;
-pub mod interface;
-pub mod wire;
-
-pub use balance::Balancer;
+pub mod load_report_text;
+pub mod policy;
+pub mod settings_file;
+pub mod simulator;
+pub mod stable_hash;
 
 /// The README's example is a test too.
 #[doc = include_str!("../README.md")]
--- a/src/node/console.rs
+++ b/src/node/admin/server.rs
@@ -4,11 +4,11 @@
 //! descriptors are kept free, and when all places are taken whoever has been silent for longest goes.
 
 use crate::driver::Driver;
-use crate::handover::{Handover, NotKept};
-use crate::log;
-use crate::server::Server;
-use crate::socket::{Descriptors, Socket};
-use crate::system::{AcceptError, Acceptor};
+use crate::frontend::server::Server;
+use crate::observability::log;
+use crate::snapshot::takeover::{OverrideError, Takeover};
+use crate::system::socket::{Descriptors, Socket};
+use crate::system::syscall_errors::{AcceptError, Acceptor};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -22,18 +22,18 @@
 use tokio::task::spawn_local;
 
 /// Callers at a time.
-pub const CALLERS: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// A call with its line's end is no longer than this.
-const LONGEST: usize = 256;
+const MAX_LENGTH: usize = 256;
 /// Whoever has not brought a whole call by then is told so and closed.
-const PATIENCE: Duration = Duration::from_secs(3);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
 /// What a caller still sends behind its call is read for so long, lest the answer be lost to a reset.
-const LINGER: Duration = Duration::from_millis(200);
+const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 const BACKLOG: u32 = 128;
 
 /// What may be asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call<'a> {
+pub enum AdminCommand<'a> {
     /// Does this process take clients?
     Ready,
     /// Nothing more to this backend.
@@ -50,12 +50,12 @@
 
 /// Why a line is no call.
 #[derive(Debug, PartialEq, Eq, Error)]
-pub enum NoCall {
+pub enum CommandError {
     /// It never ended.
     #[error("no whole line came")]
     Unfinished,
     /// It is too long to be one.
-    #[error("the line is longer than {LONGEST} bytes")]
+    #[error("the line is longer than {MAX_LENGTH} bytes")]
     TooLong,
     /// It cannot be read.
     #[error("the line is not text")]
@@ -78,50 +78,50 @@
 
 /// Why a call was not carried out.
 #[derive(Debug, Error)]
-pub enum Refusal {
+pub enum AdminError {
     /// The line is none.
     #[error(transparent)]
-    NoCall(#[from] NoCall),
+    CommandError(#[from] CommandError),
     /// It names a server that nobody knows.
     #[error("no server of this id is on the list or out of service")]
     UnknownServer,
     /// It cannot be kept for the next process.
     #[error(transparent)]
-    NotKept(#[from] NotKept),
+    OverrideError(#[from] OverrideError),
     /// The node is in no state for it.
     #[error("{0}")]
     State(&'static str),
 }
 
-impl<'a> Call<'a> {
+impl<'a> AdminCommand<'a> {
     /// Reads a line without its end.
-    pub fn parse(line: &'a [u8]) -> Result<Call<'a>, NoCall> {
-        let text = std::str::from_utf8(line).map_err(|_| NoCall::NoText)?;
+    pub fn parse(line: &'a [u8]) -> Result<AdminCommand<'a>, CommandError> {
+        let text = std::str::from_utf8(line).map_err(|_| CommandError::NoText)?;
         if text.chars().any(|c| c.is_control() && !c.is_whitespace()) {
-            return Err(NoCall::NoText);
+            return Err(CommandError::NoText);
         }
         let mut words = text.split_whitespace();
-        let name = words.next().ok_or(NoCall::Empty)?;
-        let mut id = |of| words.next().ok_or(NoCall::NoId(of));
+        let name = words.next().ok_or(CommandError::Empty)?;
+        let mut id = |of| words.next().ok_or(CommandError::NoId(of));
         let (call, of) = match name {
-            "ready" => (Call::Ready, "ready"),
-            "disable-server" => (Call::Disable(id("disable-server")?), "disable-server ID"),
-            "enable-server" => (Call::Enable(id("enable-server")?), "enable-server ID"),
-            "drain" => (Call::Drain, "drain"),
-            "resume" => (Call::Resume, "resume"),
-            "counters" => (Call::Counters, "counters"),
-            other => return Err(NoCall::Unknown(other.chars().take(40).collect())),
+            "ready" => (AdminCommand::Ready, "ready"),
+            "disable-server" => (AdminCommand::Disable(id("disable-server")?), "disable-server ID"),
+            "enable-server" => (AdminCommand::Enable(id("enable-server")?), "enable-server ID"),
+            "drain" => (AdminCommand::Drain, "drain"),
+            "resume" => (AdminCommand::Resume, "resume"),
+            "counters" => (AdminCommand::Counters, "counters"),
+            other => return Err(CommandError::Unknown(other.chars().take(40).collect())),
         };
-        if words.next().is_some() { Err(NoCall::Extra(of)) } else { Ok(call) }
+        if words.next().is_some() { Err(CommandError::Extra(of)) } else { Ok(call) }
     }
 }
 
 /// The operators' side of the node.
-pub struct Console {
+pub struct AdminServer {
     driver: Rc<Driver>,
     server: Rc<Server>,
     /// Where another process may run beside this one.
-    handover: Option<Rc<Handover>>,
+    handover: Option<Rc<Takeover>>,
     descriptors: Rc<Descriptors>,
     /// Who has brought no whole call yet, the oldest first. Dropping the handle is the notice to go.
     waiting: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
@@ -130,7 +130,7 @@
 }
 
 /// A caller's place, given up however its task ends.
-struct Place(Rc<Console>, u64);
+struct Place(Rc<AdminServer>, u64);
 
 impl Drop for Place {
     fn drop(&mut self) {
@@ -139,16 +139,16 @@
     }
 }
 
-impl Console {
+impl AdminServer {
     /// A console that nobody has called yet.
     pub fn new(
         driver: Rc<Driver>,
         server: Rc<Server>,
-        handover: Option<Rc<Handover>>,
+        handover: Option<Rc<Takeover>>,
         descriptors: Rc<Descriptors>,
-    ) -> Rc<Console> {
+    ) -> Rc<AdminServer> {
         let (waiting, open, next) = (RefCell::default(), Cell::new(0), Cell::new(0));
-        Rc::new(Console { driver, server, handover, descriptors, waiting, open, next })
+        Rc::new(AdminServer { driver, server, handover, descriptors, waiting, open, next })
     }
 
     /// Where callers come.
@@ -177,7 +177,7 @@
     }
 
     fn receive(self: &Rc<Self>, stream: TcpStream) {
-        if self.open.get() >= CALLERS && self.waiting.borrow_mut().pop_first().is_none() {
+        if self.open.get() >= MAX_CONNECTIONS && self.waiting.borrow_mut().pop_first().is_none() {
             // All are being answered, which takes a moment: this one may call again.
             return;
         }
@@ -197,18 +197,18 @@
     async fn converse(&self, mut stream: Socket, number: u64, gone: oneshot::Receiver<()>) {
         let mut line = Vec::new();
         let read = tokio::select! {
-            read = tokio::time::timeout(PATIENCE, whole_line(&mut stream, &mut line)) => read,
+            read = tokio::time::timeout(COMMAND_TIMEOUT, whole_line(&mut stream, &mut line)) => read,
             _ = gone => return,
         };
         self.waiting.borrow_mut().remove(&number);
         let call = match read {
-            Ok(Ok(())) => Call::parse(&line),
+            Ok(Ok(())) => AdminCommand::parse(&line),
             Ok(Err(wrong)) => Err(wrong),
-            Err(_) => Err(NoCall::Unfinished),
+            Err(_) => Err(CommandError::Unfinished),
         };
         let answer = match call {
             Ok(call) => self.carry_out(call).await,
-            Err(wrong) => Err(Refusal::NoCall(wrong)),
+            Err(wrong) => Err(AdminError::CommandError(wrong)),
         };
         let answer = match answer {
             Ok(text) => format!("done {text}\n"),
@@ -217,31 +217,31 @@
         let telling = async {
             stream.write_all(answer.as_bytes()).await?;
             stream.shutdown().await?;
-            let mut scrap = [0; LONGEST];
+            let mut scrap = [0; MAX_LENGTH];
             while AsyncReadExt::read(&mut stream, &mut scrap).await? > 0 {}
             Ok::<_, std::io::Error>(())
         };
         // A caller that does not take its answer has gone.
-        let _ = tokio::time::timeout(LINGER, telling).await;
+        let _ = tokio::time::timeout(LINGERING_CLOSE_TIMEOUT, telling).await;
     }
 
-    async fn carry_out(&self, call: Call<'_>) -> Result<Cow<'static, str>, Refusal> {
+    async fn carry_out(&self, call: AdminCommand<'_>) -> Result<Cow<'static, str>, AdminError> {
         let answer = match call {
-            Call::Ready if self.server.ready().is_ok() => return Ok("takes clients".into()),
-            Call::Ready => return Err(Refusal::State("takes no clients")),
-            Call::Counters => return Ok(self.driver.counters.text().into()),
-            Call::Disable(id) => match self.set_disabled(id, true).await {
+            AdminCommand::Ready if self.server.ready().is_ok() => return Ok("takes clients".into()),
+            AdminCommand::Ready => return Err(AdminError::State("takes no clients")),
+            AdminCommand::Counters => return Ok(self.driver.counters.text().into()),
+            AdminCommand::Disable(id) => match self.set_disabled(id, true).await {
                 Ok(true) => Ok("out of service"),
                 Ok(false) => Ok("out of service already"),
                 Err(refusal) => Err(refusal),
             },
-            Call::Enable(id) => match self.set_disabled(id, false).await {
+            AdminCommand::Enable(id) => match self.set_disabled(id, false).await {
                 Ok(true) => Ok("in service again, cold"),
                 Ok(false) => Ok("was not out of service"),
                 Err(refusal) => Err(refusal),
             },
-            Call::Drain => self.server.drain().map_err(Refusal::State),
-            Call::Resume => self.server.resume().map_err(Refusal::State),
+            AdminCommand::Drain => self.server.drain().map_err(AdminError::State),
+            AdminCommand::Resume => self.server.resume().map_err(AdminError::State),
         };
         let answer = answer.map(Cow::Borrowed);
         match &answer {
@@ -253,25 +253,25 @@
 
     /// True if the call changed anything. Where a later process may take over, the change is kept for it before this
     /// returns.
-    async fn set_disabled(&self, uid: &str, disable: bool) -> Result<bool, Refusal> {
-        let backend = self.driver.backend(uid).ok_or(Refusal::UnknownServer)?;
+    async fn set_disabled(&self, uid: &str, disable: bool) -> Result<bool, AdminError> {
+        let endpoint = self.driver.endpoint(uid).ok_or(AdminError::UnknownServer)?;
         match &self.handover {
-            Some(handover) => Ok(handover.change(&self.driver, backend, disable).await?),
-            None => Ok(self.driver.set_disabled(backend, disable)),
+            Some(handover) => Ok(handover.change(&self.driver, endpoint, disable).await?),
+            None => Ok(self.driver.set_disabled(endpoint, disable)),
         }
     }
 }
 
 /// Reads up to the first line's end, which is not kept.
-async fn whole_line(stream: &mut Socket, line: &mut Vec<u8>) -> Result<(), NoCall> {
-    let mut piece = [0; LONGEST];
+async fn whole_line(stream: &mut Socket, line: &mut Vec<u8>) -> Result<(), CommandError> {
+    let mut piece = [0; MAX_LENGTH];
     loop {
-        let n = AsyncReadExt::read(stream, &mut piece).await.map_err(|_| NoCall::Unfinished)?;
-        let piece = piece.get(..n).filter(|p| !p.is_empty()).ok_or(NoCall::Unfinished)?;
+        let n = AsyncReadExt::read(stream, &mut piece).await.map_err(|_| CommandError::Unfinished)?;
+        let piece = piece.get(..n).filter(|p| !p.is_empty()).ok_or(CommandError::Unfinished)?;
         let end = piece.iter().position(|b| *b == b'\n');
         line.extend_from_slice(piece.get(..end.unwrap_or(n)).unwrap_or(piece));
-        if line.len() >= LONGEST {
-            return Err(NoCall::TooLong);
+        if line.len() >= MAX_LENGTH {
+            return Err(CommandError::TooLong);
         }
         if end.is_some() {
             return Ok(());
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -1,10 +1,11 @@
 //! `LB_CONFIG` and the environment, read into typed settings.
 
-use birchspoke::interface::Settings;
-use birchspoke::wire::{self, Names, WireError};
 use serde_json::Value;
 use std::net::SocketAddr;
 use thiserror::Error;
+use wheelpath::policy::Settings;
+use wheelpath::settings_file::{self, Names, SettingsFileError};
+use wheelpath::stable_hash::stable_hash;
 
 /// All that a node is told at its start.
 pub struct Config {
@@ -60,7 +61,7 @@
     },
     /// The settings are wrong.
     #[error("settings: {0}")]
-    Settings(#[from] WireError),
+    Settings(#[from] SettingsFileError),
 }
 
 fn wrong(field: &str, reason: impl Into<String>) -> ConfigError {
@@ -116,7 +117,7 @@
         let discovery = address_of(json, "discovery", word(DISCOVERY))?.ok_or_else(missing("discovery"))?;
         let seed = match json.get("seed") {
             Some(Value::Number(n)) => n.as_u64().ok_or_else(|| wrong("seed", "not a whole number"))?,
-            Some(Value::String(s)) => u64::from_str_radix(s, 16).unwrap_or_else(|_| wire::stable_hash(s)),
+            Some(Value::String(s)) => u64::from_str_radix(s, 16).unwrap_or_else(|_| stable_hash(s)),
             _ => return Err(wrong("seed", "missing or not a text")),
         };
         let limit = |name: &str, default: usize| match json.pointer(&format!("/limits/{name}")) {
@@ -136,7 +137,7 @@
             Some(_) => return Err(wrong("peers", "not a list")),
         };
         let settings = json.get("settings").ok_or_else(missing("settings"))?;
-        let (settings, names) = wire::settings(&settings.to_string())?;
+        let (settings, names) = settings_file::read(&settings.to_string())?;
         Ok(Config {
             name: text(json, "name", word("LB_NAME"))?.unwrap_or_default(),
             listen,
--- /dev/null
+++ b/src/node/discovery/mod.rs
@@ -0,0 +1,3 @@
+//! The endpoint list: the first one from the configuration, then a watch on discovery.
+
+pub mod watch;
--- a/src/node/discovery.rs
+++ b/src/node/discovery/watch.rs
@@ -1,12 +1,10 @@
 //! The list of backends: the first one from the configuration, then a watch on discovery.
 
-use crate::driver::{Driver, Input, Target};
-use crate::log;
-use crate::socket::Descriptors;
-use crate::system::ConnectError;
-use crate::upstream::{Conn, Failure, Sending};
-use birchspoke::interface::{BackendId, Discovery, Entry, Health, ListKind};
-use birchspoke::wire::{Names, stable_hash};
+use crate::driver::{DiscoveredEndpoint, Driver, DriverEvent};
+use crate::observability::log;
+use crate::system::socket::Descriptors;
+use crate::system::syscall_errors::ConnectError;
+use crate::upstream::{ExchangeError, UpstreamBody, UpstreamConnection};
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use serde_json::Value;
@@ -20,6 +18,9 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 use tokio::time::error::Elapsed;
+use wheelpath::policy::{DiscoveryMode, EndpointId, EndpointState, EndpointUpdate, WatchUpdate};
+use wheelpath::settings_file::Names;
+use wheelpath::stable_hash::stable_hash;
 
 /// How long a watch may wait for an update. Pushed lists cost nothing to ask for, and a short wait soon shows an
 /// agent that has fallen silent: what it gets at its return counts at once.
@@ -73,7 +74,7 @@
     rev: u64,
     all: bool,
     /// Its lines, without those that could not be read.
-    pub targets: Vec<Target>,
+    pub targets: Vec<DiscoveredEndpoint>,
     skipped: bool,
 }
 
@@ -86,8 +87,9 @@
 
     /// Says in the log what it brought, if anything.
     fn tell(&self, age: Duration) {
-        let count = |h: Health| self.targets.iter().filter(|t| t.entry.health == h).count();
-        let (up, draining, gone) = (count(Health::Up), count(Health::Draining), count(Health::Gone));
+        let count = |h: EndpointState| self.targets.iter().filter(|t| t.entry.state == h).count();
+        let (up, draining, gone) =
+            (count(EndpointState::Active), count(EndpointState::Draining), count(EndpointState::Removed));
         if !self.targets.is_empty() {
             let what = if self.all { "whole list" } else { "changes" };
             log::line(&format!(
@@ -120,21 +122,22 @@
     (lines.is_empty() || !targets.is_empty()).then_some(Listing { rev, all, targets, skipped })
 }
 
-fn target(line: &Value, names: &Names) -> Result<Target, &'static str> {
+fn target(line: &Value, names: &Names) -> Result<DiscoveredEndpoint, &'static str> {
     let text = |field: &str| line.get(field).and_then(Value::as_str);
     let uid = text("uid").filter(|u| !u.is_empty()).ok_or("uid")?;
     let health = match text("state") {
-        Some("up") => Health::Up,
-        Some("draining") => Health::Draining,
-        Some("removed") => Health::Gone,
+        Some("up") => EndpointState::Active,
+        Some("draining") => EndpointState::Draining,
+        Some("removed") => EndpointState::Removed,
         _ => return Err("state"),
     };
     let address = text("endpoint").ok_or("endpoint").and_then(|t| t.parse().map_err(|_| "endpoint"));
-    let backend = BackendId(stable_hash(uid));
-    if health != Health::Up {
+    let endpoint = EndpointId(stable_hash(uid));
+    if health != EndpointState::Active {
         // Of one that leaves nothing else matters: whatever cannot be read must not keep it alive.
-        let entry = Entry { backend, zone: 0, cell: 0, health, units: 1.0, ready_at_ms: 0.0 };
-        return Ok(Target { entry, boot_ms: 0.0, address: address.ok() });
+        let entry =
+            EndpointUpdate { endpoint, zone: 0, cell: 0, state: health, weight: 1.0, started_at_ms: 0.0 };
+        return Ok(DiscoveredEndpoint { entry, boot_ms: 0.0, address: address.ok() });
     }
     let number = |field: &'static str, default: f64| match line.get(field) {
         None | Some(Value::Null) => Ok(default),
@@ -144,15 +147,15 @@
     if cell < 0.0 || cell > f64::from(u32::MAX) {
         return Err("pod_group");
     }
-    let entry = Entry {
-        backend,
+    let entry = EndpointUpdate {
+        endpoint,
         zone: names.zone(text("az")),
         cell: cell as u32,
-        health,
-        units: number("capacity_hint", 1.0)?,
-        ready_at_ms: 0.0,
+        state: health,
+        weight: number("capacity_hint", 1.0)?,
+        started_at_ms: 0.0,
     };
-    Ok(Target { entry, boot_ms: number("boot_ms", 0.0)?, address: Some(address?) })
+    Ok(DiscoveredEndpoint { entry, boot_ms: number("boot_ms", 0.0)?, address: Some(address?) })
 }
 
 /// Keeps the list fresh for as long as the node lives.
@@ -160,7 +163,7 @@
     /// Where discovery is; a new configuration may name another place.
     pub address: watch::Receiver<SocketAddr>,
     /// How the list arrives.
-    pub mode: Discovery,
+    pub mode: DiscoveryMode,
     /// Names of zones.
     pub names: Rc<Names>,
     /// The count of sockets.
@@ -180,7 +183,7 @@
 impl Watch {
     /// Runs until the driver is gone.
     pub async fn run(mut self, driver: Rc<Driver>) {
-        let start = if self.mode == Discovery::Pushed { PUSHED_START } else { ASKED_START };
+        let start = if self.mode == DiscoveryMode::Push { PUSHED_START } else { ASKED_START };
         let given = driver.clone();
         spawn_local(async move {
             tokio::time::sleep(start).await;
@@ -192,7 +195,7 @@
         let mut at = *address.borrow();
         let mut conn = None;
         let mut rev = self.version.get();
-        let mut wanted = self.mode == Discovery::Pushed || self.behind;
+        let mut wanted = self.mode == DiscoveryMode::Push || self.behind;
         let mut failed = 0_u32;
         // Since the last answer a call without one was made again at once.
         let mut repeated = false;
@@ -209,7 +212,7 @@
                 // It is asked at once. An agent may count on its own, and tells all of its list for nothing; the one
                 // service of all nodes has the same count wherever it is, and cannot tell each of them all of
                 // it in time.
-                rev = rev.filter(|_| self.mode == Discovery::OnRequest);
+                rev = rev.filter(|_| self.mode == DiscoveryMode::Poll);
                 (at, conn, wanted, check) = (now_at, None, true, true);
                 due_by = Instant::now() + MOVED;
             }
@@ -240,7 +243,7 @@
                     }
                     // The watch is old, and what was asked beside it brought no update.
                     let Some(listing) = answer else {
-                        driver.take(Input::List(ListKind::Changes, Vec::new()));
+                        driver.take(DriverEvent::List(WatchUpdate::Delta, Vec::new()));
                         continue;
                     };
                     // A watch that did not wait and brought nothing must not make this loop spin.
@@ -252,8 +255,8 @@
                     // No change is an update too where discovery is asked: the call did not fail.
                     if !lost {
                         listing.tell(begun.elapsed());
-                        let kind = if listing.all { ListKind::Full } else { ListKind::Changes };
-                        driver.take(Input::List(kind, listing.targets));
+                        let kind = if listing.all { WatchUpdate::Snapshot } else { WatchUpdate::Delta };
+                        driver.take(DriverEvent::List(kind, listing.targets));
                         driver.trust_list();
                     }
                     if lost || idle {
@@ -272,16 +275,16 @@
                     if failed.is_power_of_two() {
                         log::line(&format!("discovery: no answer to {failed} calls in a row: {e}"));
                     }
-                    if self.mode == Discovery::OnRequest && unheard(&*e) && !repeated {
+                    if self.mode == DiscoveryMode::Poll && unheard(&*e) && !repeated {
                         // What it would have said counts as told soon, and silence is no sign of load: an
                         // overbooked service says no.
                         repeated = true;
-                    } else if self.mode == Discovery::OnRequest && Instant::now() < due_by {
+                    } else if self.mode == DiscoveryMode::Poll && Instant::now() < due_by {
                         tokio::time::sleep(MOVED_PAUSE.mul_f64(0.5 + 0.5 * self.rng.f64())).await;
-                    } else if self.mode == Discovery::OnRequest {
+                    } else if self.mode == DiscoveryMode::Poll {
                         // The decisions pace the calls: each costs the one service of all nodes.
                         wanted = false;
-                        driver.take(Input::List(ListKind::Failed, Vec::new()));
+                        driver.take(DriverEvent::List(WatchUpdate::Failure, Vec::new()));
                     } else {
                         // Whoever answers next may count anew, and here the whole list costs nothing.
                         rev = None;
@@ -297,13 +300,13 @@
     async fn call(
         &self,
         at: SocketAddr,
-        conn: &mut Option<Conn>,
+        conn: &mut Option<UpstreamConnection>,
         rev: Option<u64>,
         watch: Option<Duration>,
     ) -> Result<Option<Listing>, Box<dyn Error>> {
         let (wait, answer) = match self.mode {
-            Discovery::Pushed => (PUSHED_WAIT, PUSHED_ANSWER),
-            Discovery::OnRequest => (ASKED_WAIT, ASKED_ANSWER),
+            DiscoveryMode::Push => (PUSHED_WAIT, PUSHED_ANSWER),
+            DiscoveryMode::Poll => (ASKED_WAIT, ASKED_ANSWER),
         };
         let wait = rev.and(watch).map_or(Duration::ZERO, |_| wait);
         let mut beside = None;
@@ -327,15 +330,15 @@
     async fn ask(
         &self,
         at: SocketAddr,
-        kept: &mut Option<Conn>,
+        kept: &mut Option<UpstreamConnection>,
         rev: Option<u64>,
         wait: Duration,
         body_time: Duration,
     ) -> Result<Listing, Box<dyn Error>> {
-        if self.mode == Discovery::OnRequest {
+        if self.mode == DiscoveryMode::Poll {
             return self.exchange(at, kept, rev, wait, body_time).await;
         }
-        let call = |mut conn: Option<Conn>, wait| {
+        let call = |mut conn: Option<UpstreamConnection>, wait| {
             Box::pin(async move {
                 let listing = self.exchange(at, &mut conn, rev, wait, body_time).await?;
                 Ok::<_, Box<dyn Error>>((listing, conn))
@@ -377,7 +380,7 @@
     async fn look(
         &self,
         at: SocketAddr,
-        conn: &mut Option<Conn>,
+        conn: &mut Option<UpstreamConnection>,
         rev: u64,
         every: Duration,
     ) -> Option<Listing> {
@@ -400,16 +403,16 @@
         None
     }
 
-    async fn connect(&self, at: SocketAddr) -> Result<Conn, Box<dyn Error>> {
-        let limit = if self.mode == Discovery::Pushed { PUSHED_CONNECT } else { ASKED_CONNECT };
+    async fn connect(&self, at: SocketAddr) -> Result<UpstreamConnection, Box<dyn Error>> {
+        let limit = if self.mode == DiscoveryMode::Push { PUSHED_CONNECT } else { ASKED_CONNECT };
         let deadline = Instant::now() + limit;
-        Ok(Conn::open(at, deadline, self.descriptors.take_own(), LIST_BUFFER).await?)
+        Ok(UpstreamConnection::open(at, deadline, self.descriptors.take_own(), LIST_BUFFER).await?)
     }
 
     async fn exchange(
         &self,
         at: SocketAddr,
-        kept: &mut Option<Conn>,
+        kept: &mut Option<UpstreamConnection>,
         rev: Option<u64>,
         wait: Duration,
         body_time: Duration,
@@ -418,8 +421,8 @@
             || "/discovery/hosts".to_owned(),
             |rev| format!("/discovery/hosts?after={rev}&wait_ms={}", wait.as_millis()),
         );
-        let request = Request::get(path).header(HOST, at.to_string()).body(Sending::empty())?;
-        let mut conn = match kept.take().filter(Conn::alive) {
+        let request = Request::get(path).header(HOST, at.to_string()).body(UpstreamBody::empty())?;
+        let mut conn = match kept.take().filter(UpstreamConnection::alive) {
             Some(conn) => conn,
             None => self.connect(at).await?,
         };
@@ -428,7 +431,7 @@
             return Err(format!("status {}", answer.status()).into());
         }
         let json = serde_json::from_slice(answer.body())?;
-        let listing = listing(&json, &self.names).ok_or(Failure::Spoilt)?;
+        let listing = listing(&json, &self.names).ok_or(ExchangeError::Spoilt)?;
         *kept = Some(conn);
         Ok(listing)
     }
@@ -437,7 +440,7 @@
 /// Nothing came in time, or nothing that can be read: discovery did not say no.
 fn unheard(e: &(dyn Error + 'static)) -> bool {
     let late = e.is::<Elapsed>() || matches!(e.downcast_ref(), Some(ConnectError::TimedOut));
-    late || e.is::<serde_json::Error>() || matches!(e.downcast_ref(), Some(Failure::Spoilt))
+    late || e.is::<serde_json::Error>() || matches!(e.downcast_ref(), Some(ExchangeError::Spoilt))
 }
 
 /// This machine could not ask: that says nothing of discovery.
--- /dev/null
+++ b/src/node/frontend/mod.rs
@@ -0,0 +1,4 @@
+//! The client side: connections, the requests read from them, and the responses.
+
+pub mod request_reader;
+pub mod server;
--- a/src/node/server.rs
+++ b/src/node/frontend/server.rs
@@ -1,13 +1,15 @@
 //! The client side: connections, what they ask, and the answers they get.
 
 use crate::BACKLOG;
-use crate::arrival;
-use crate::counters::{Kind, Violation};
 use crate::driver::{Answer, Driver};
-use crate::log;
-use crate::request::{Arrival, LocalReply, Reader, Reading, closing, full, plain};
-use crate::socket::{Descriptors, Slot, Socket};
-use crate::system::{AcceptError, Acceptor};
+use crate::frontend::request_reader::{
+    ArrivalTime, LocalReply, ParsedRequest, RequestReader, closing, full, plain,
+};
+use crate::observability::counters::{CounterKind, Violation};
+use crate::observability::log;
+use crate::system::accept_time;
+use crate::system::socket::{DescriptorPermit, Descriptors, Socket};
+use crate::system::syscall_errors::{AcceptError, Acceptor};
 use hyper::body::Incoming;
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, HeaderValue, RETRY_AFTER, TRANSFER_ENCODING,
@@ -28,59 +30,59 @@
 
 /// A connection that has brought no whole head since it began, or since its last answer, is closed: it is
 /// silent, sends half a request, or does not read its answer.
-const IDLE_LIMIT: Duration = Duration::from_millis(2200);
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
 /// From its connecting on, for one that has never brought a whole head.
-const STRANGER_LIMIT: Duration = Duration::from_millis(2800);
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2800);
 /// A client that takes nothing of a long answer for so long is cut. What the system holds for it hides a slow one
 /// for a few seconds.
-const TAKING_LIMIT: Duration = Duration::from_secs(10);
+const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// The header with the id of a request.
 const TRACE_ID: &str = "x-trace-id";
 const BOTH_FRAMINGS: &str = "both a length and chunks\n";
 /// How often what was turned away may be told.
-const REJECTED_EVERY: Duration = Duration::from_secs(10);
+const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(10);
 /// One that carries a request just then is looked at again so soon.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const TIMEOUT_RECHECK: Duration = Duration::from_millis(100);
 /// What a client is still sending when its connection ends is read for so long and so far: a socket closed
 /// with unread bytes resets, and takes an answer under way along.
-const LINGER: Duration = Duration::from_millis(500);
-const LINGER_READ: usize = 32 * 1024 * 1024;
+const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+const LINGERING_CLOSE_BYTES: usize = 32 * 1024 * 1024;
 /// Part of all descriptors that clients may keep between their requests.
-const KEPT_PART: usize = 4;
+const KEEP_ALIVE_PART: usize = 4;
 /// A connection this young has its first request under way.
-const FRESH: Duration = Duration::from_millis(25);
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(25);
 /// Under pressure, a client that has not gone on with a request for so long is in the others' way.
-const STUCK: Duration = Duration::from_millis(100);
+const STUCK_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 /// After the notice to stop: new connections come for up to 0.4 s, and a margin; then until none has come
 /// for a moment.
-const ACCEPT_ON: Duration = Duration::from_millis(700);
-const QUIET: Duration = Duration::from_millis(150);
+const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(700);
+const SHUTDOWN_ACCEPT_QUIET_TIME: Duration = Duration::from_millis(150);
 /// But so long at most: SIGKILL would find unanswered what is taken later.
-const ACCEPT_END: Duration = Duration::from_millis(1500);
+const SHUTDOWN_ACCEPT_MAX_TIME: Duration = Duration::from_millis(1500);
 /// In which the system says whether another connection waits.
-const LAST_LOOK: Duration = Duration::from_millis(5);
+const LAST_ACCEPT_POLL: Duration = Duration::from_millis(5);
 /// A drained node leaves so much time to requests that are on their way on connections it has answered on.
-const LEAVE: Duration = Duration::from_millis(1000);
-const LEAVE_TURN: Duration = Duration::from_millis(100);
+const CLIENT_DRAIN_TIMEOUT: Duration = Duration::from_millis(1000);
+const CLIENT_DRAIN_INTERVAL: Duration = Duration::from_millis(100);
 /// A head that has not come so long before the end of the process is not waited for.
-const LAST_HEADS: Duration = Duration::from_millis(400);
+const SHUTDOWN_HEAD_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The client has left: there is nobody to answer.
 #[derive(Debug, Error)]
 #[error("the client has left")]
-struct Left;
+struct ClientLeft;
 
 /// Why a client's connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
     /// The client ended it, or what it sent cannot be read and was answered so.
-    Client,
+    ClientConnection,
     /// The last answer said so, or hyper ended it behind one.
     Answered,
     /// An answer broke off, and its end must not look like a whole one.
     Broken,
     /// Nothing came on it for long.
-    Idle,
+    IdleConnection,
     /// A head never became whole.
     HalfHead,
     /// The client takes nothing of a long answer.
@@ -92,10 +94,10 @@
 impl CloseReason {
     fn name(self) -> &'static str {
         match self {
-            CloseReason::Client => "client",
+            CloseReason::ClientConnection => "client",
             CloseReason::Answered => "answered",
             CloseReason::Broken => "broken",
-            CloseReason::Idle => "idle",
+            CloseReason::IdleConnection => "idle",
             CloseReason::HalfHead => "half-head",
             CloseReason::Stalled => "stalled",
             CloseReason::Wanted => "wanted",
@@ -104,7 +106,7 @@
 
     /// The node ends it of its own accord: then nothing on it may wait for an answer.
     fn is_own(self) -> bool {
-        matches!(self, CloseReason::Idle | CloseReason::HalfHead | CloseReason::Wanted)
+        matches!(self, CloseReason::IdleConnection | CloseReason::HalfHead | CloseReason::Wanted)
     }
 }
 
@@ -130,7 +132,7 @@
 }
 
 /// One client connection.
-struct Client {
+struct ClientConnection {
     socket: Socket,
     /// Requests on it whose answers have not ended: the next may come before the last is put away.
     busy: Cell<u32>,
@@ -158,22 +160,22 @@
 
 /// Whose connection is closed first when there is no place for another.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Turn {
+enum EvictionPriority {
     Over,
     AskedNothing,
-    Idle,
+    IdleConnection,
     Stuck,
 }
 
-impl Client {
+impl ClientConnection {
     /// Whose turn it is to be closed; none while a request is on it.
-    fn turn(&self) -> Option<Turn> {
+    fn turn(&self) -> Option<EvictionPriority> {
         match self.socket.read() == self.read.get() {
-            _ if self.over.get() => Some(Turn::Over),
+            _ if self.over.get() => Some(EvictionPriority::Over),
             _ if self.busy.get() > 0 => None,
-            _ if !self.asked.get() => Some(Turn::AskedNothing),
-            true => Some(Turn::Idle),
-            false => Some(Turn::Stuck),
+            _ if !self.asked.get() => Some(EvictionPriority::AskedNothing),
+            true => Some(EvictionPriority::IdleConnection),
+            false => Some(EvictionPriority::Stuck),
         }
     }
 
@@ -189,32 +191,34 @@
     fn may_close(&self) -> bool {
         match self.turn() {
             None => false,
-            Some(Turn::Over) => true,
-            Some(Turn::AskedNothing) => self.idle_since.get().elapsed() > FRESH && self.socket.quiet(),
-            Some(Turn::Idle) => self.socket.quiet(),
-            Some(Turn::Stuck) => {
+            Some(EvictionPriority::Over) => true,
+            Some(EvictionPriority::AskedNothing) => {
+                self.idle_since.get().elapsed() > NEW_CONNECTION_GRACE && self.socket.quiet()
+            }
+            Some(EvictionPriority::IdleConnection) => self.socket.quiet(),
+            Some(EvictionPriority::Stuck) => {
                 let seen = self.stuck_since.get().unwrap_or_else(Instant::now);
                 self.stuck_since.set(Some(seen));
-                seen.elapsed() > STUCK && self.socket.quiet()
+                seen.elapsed() > STUCK_REQUEST_TIMEOUT && self.socket.quiet()
             }
         }
     }
 
     /// Nothing on it, and no whole head for too long.
-    fn outstayed(&self) -> bool {
-        self.busy.get() == 0 && self.due() <= Instant::now()
+    fn idle_timeout_elapsed(&self) -> bool {
+        self.busy.get() == 0 && self.response_deadline() <= Instant::now()
     }
 }
 
-impl Client {
+impl ClientConnection {
     /// When it must have brought a whole head: a while after that began, or after its last answer. A stranger that
     /// asks for nothing must be gone within three seconds, whenever it began to.
-    fn due(&self) -> Instant {
+    fn response_deadline(&self) -> Instant {
         let since = self.idle_since.get();
         match self.socket.begun() {
-            Some(begun) if self.asked.get() => begun + IDLE_LIMIT,
-            Some(begun) => (begun + IDLE_LIMIT).min(since + STRANGER_LIMIT),
-            None => since + IDLE_LIMIT,
+            Some(begun) if self.asked.get() => begun + REQUEST_HEAD_TIMEOUT,
+            Some(begun) => (begun + REQUEST_HEAD_TIMEOUT).min(since + FIRST_REQUEST_TIMEOUT),
+            None => since + REQUEST_HEAD_TIMEOUT,
         }
     }
 
@@ -225,7 +229,7 @@
             self.written.set((self.socket.written(), Instant::now()));
             return false;
         }
-        since.elapsed() > TAKING_LIMIT
+        since.elapsed() > RESPONSE_STALL_TIMEOUT
     }
 
     /// Notes that a request told a length. True if other lines that tell one have come than such requests know
@@ -238,18 +242,18 @@
 }
 
 /// Marks a connection as busy for as long as a request is on it.
-struct Busy(Rc<Client>);
+struct RequestInProgress(Rc<ClientConnection>);
 
-impl Busy {
-    fn new(client: Rc<Client>) -> Busy {
+impl RequestInProgress {
+    fn new(client: Rc<ClientConnection>) -> RequestInProgress {
         client.busy.set(client.busy.get() + 1);
         client.asked.set(true);
         client.stuck_since.set(None);
-        Busy(client)
+        RequestInProgress(client)
     }
 }
 
-impl Drop for Busy {
+impl Drop for RequestInProgress {
     fn drop(&mut self) {
         self.0.busy.set(self.0.busy.get().saturating_sub(1));
         if self.0.busy.get() > 0 {
@@ -263,12 +267,12 @@
 }
 
 /// A client's place among those connected: given up however its task ends, or its descriptor would stay.
-struct Listed {
+struct RegisteredClient {
     server: Rc<Server>,
     number: u64,
 }
 
-impl Drop for Listed {
+impl Drop for RegisteredClient {
     fn drop(&mut self) {
         let client = self.server.clients.borrow_mut().remove(&self.number);
         drop(client);
@@ -279,11 +283,11 @@
 /// The client side of the node.
 pub struct Server {
     driver: Rc<Driver>,
-    reader: Reader,
-    open_cap: usize,
+    reader: RequestReader,
+    max_open_requests: usize,
     buffer: usize,
     descriptors: Rc<Descriptors>,
-    clients: RefCell<BTreeMap<u64, Rc<Client>>>,
+    clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     /// What was turned away since that was last told, by the answer's text, and clients cut for being slow.
     rejected: RefCell<BTreeMap<&'static str, u32>>,
     rejected_logged: Cell<Option<Instant>>,
@@ -302,15 +306,15 @@
     /// A server with no clients yet. `buffer` is what it reads ahead on a connection, in bytes.
     pub fn new(
         driver: Rc<Driver>,
-        reader: Reader,
-        open_cap: usize,
+        reader: RequestReader,
+        max_open_requests: usize,
         buffer: usize,
         descriptors: Rc<Descriptors>,
     ) -> Rc<Server> {
         let server = Rc::new(Server {
             driver,
             reader,
-            open_cap,
+            max_open_requests,
             buffer,
             descriptors: descriptors.clone(),
             clients: RefCell::default(),
@@ -342,9 +346,9 @@
         let clients = self.clients.borrow();
         let mut order: Vec<_> =
             clients.values().filter_map(|c| Some((c.turn()?, c.idle_since.get(), c))).collect();
-        let strangers = order.iter().filter(|(turn, ..)| *turn == Turn::AskedNothing).count();
+        let strangers = order.iter().filter(|(turn, ..)| *turn == EvictionPriority::AskedNothing).count();
         if 2 * strangers > clients.len() {
-            order.retain(|(turn, ..)| *turn <= Turn::AskedNothing);
+            order.retain(|(turn, ..)| *turn <= EvictionPriority::AskedNothing);
         }
         order.sort_unstable_by_key(|(turn, since, _)| (*turn, *since));
         if let Some((.., client)) = order.into_iter().find(|(.., c)| c.may_close()) {
@@ -367,8 +371,11 @@
             if self.succeeded.get() {
                 return;
             }
-            let quiet_at =
-                self.stopping.get().map(|at| (at + ACCEPT_ON).max(last + QUIET).min(at + ACCEPT_END));
+            let quiet_at = self.stopping.get().map(|at| {
+                (at + SHUTDOWN_ACCEPT_TIME)
+                    .max(last + SHUTDOWN_ACCEPT_QUIET_TIME)
+                    .min(at + SHUTDOWN_ACCEPT_MAX_TIME)
+            });
             let quiet = async {
                 match quiet_at {
                     Some(at) => tokio::time::sleep_until(at.into()).await,
@@ -378,7 +385,7 @@
             let accepted = tokio::select! {
                 accepted = acceptor.accept() => accepted,
                 // Who came while this node had no turn waits in the backlog, and no more than that holds.
-                () = quiet => match tokio::time::timeout(LAST_LOOK, acceptor.accept()).await {
+                () = quiet => match tokio::time::timeout(LAST_ACCEPT_POLL, acceptor.accept()).await {
                     Ok(accepted) if last_looks > 0 => {
                         last_looks -= 1;
                         accepted
@@ -392,7 +399,7 @@
                     last = Instant::now();
                     // Under pressure this waits for a place: others wait in the backlog and are taken then.
                     let slot = self.descriptors.take_for_client().await;
-                    let waited_since = arrival::first_byte(&stream, acceptor.waited_at_most());
+                    let waited_since = accept_time::first_byte(&stream, acceptor.waited_at_most());
                     self.serve(stream, slot, waited_since);
                 }
                 Err(error) => {
@@ -413,7 +420,7 @@
     pub async fn wind_down(self: &Rc<Self>, end: Instant) {
         while Instant::now() < end && !self.clients.borrow().is_empty() {
             // Who is slow with a head may still bring it in time to be answered.
-            self.close_idle(end.saturating_duration_since(Instant::now()) < LAST_HEADS);
+            self.close_idle(end.saturating_duration_since(Instant::now()) < SHUTDOWN_HEAD_TIMEOUT);
             let _ = tokio::time::timeout(Duration::from_millis(20), self.closed.notified()).await;
         }
     }
@@ -436,13 +443,13 @@
         };
         if self.told_ready.replace(Some(ready)) != Some(ready) {
             let name = ready.err().map_or("ready", NotReady::name);
-            self.driver.counters.count(Kind::Readiness, name);
+            self.driver.counters.count(CounterKind::Readiness, name);
             log::line(&format!("readiness: {name}"));
         }
         ready
     }
 
-    fn leaving(&self) -> bool {
+    fn sends_clients_away(&self) -> bool {
         self.stopping.get().is_some() || self.drained.get().is_some()
     }
 
@@ -458,10 +465,10 @@
         self.drained.set(Some(since));
         let server = self.clone();
         spawn_local(async move {
-            tokio::time::sleep(LEAVE).await;
+            tokio::time::sleep(CLIENT_DRAIN_TIMEOUT).await;
             while server.drained.get() == Some(since) {
                 server.close_idle(false);
-                tokio::time::sleep(LEAVE_TURN).await;
+                tokio::time::sleep(CLIENT_DRAIN_INTERVAL).await;
             }
         });
         Ok("drained: clients are sent away")
@@ -476,9 +483,9 @@
         }
     }
 
-    fn serve(self: &Rc<Self>, stream: TcpStream, slot: Slot, waited_since: Option<Instant>) {
+    fn serve(self: &Rc<Self>, stream: TcpStream, slot: DescriptorPermit, waited_since: Option<Instant>) {
         let socket = Socket::new(stream, slot);
-        let client = Rc::new(Client {
+        let client = Rc::new(ClientConnection {
             socket: socket.clone(),
             busy: Cell::new(0),
             asked: Cell::new(false),
@@ -497,7 +504,7 @@
         self.next.set(number + 1);
         client.socket.mark();
         self.clients.borrow_mut().insert(number, client.clone());
-        let listed = Listed { server: self.clone(), number };
+        let listed = RegisteredClient { server: self.clone(), number };
         spawn_local(async move {
             let reason = listed.server.converse(&client, socket).await;
             listed.server.closes(&client, reason).await;
@@ -505,8 +512,8 @@
     }
 
     /// The one place in which a connection ends.
-    async fn closes(&self, client: &Client, reason: CloseReason) {
-        self.driver.counters.count(Kind::Close, reason.name());
+    async fn closes(&self, client: &ClientConnection, reason: CloseReason) {
+        self.driver.counters.count(CounterKind::Close, reason.name());
         if reason.is_own() && client.busy.get() > 0 {
             let id = client.last_id.borrow();
             let id = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("?");
@@ -514,22 +521,25 @@
         }
         match reason {
             CloseReason::Broken => client.socket.reset(),
-            CloseReason::Client | CloseReason::Answered => {
+            CloseReason::ClientConnection | CloseReason::Answered => {
                 client.over.set(true);
                 tokio::select! {
-                    _ = tokio::time::timeout(LINGER, client.socket.discard(LINGER_READ)) => {}
+                    _ = tokio::time::timeout(LINGERING_CLOSE_TIMEOUT, client.socket.discard(LINGERING_CLOSE_BYTES)) => {}
                     () = client.close.notified() => {}
                 }
             }
-            CloseReason::Idle | CloseReason::HalfHead | CloseReason::Stalled | CloseReason::Wanted => {}
+            CloseReason::IdleConnection
+            | CloseReason::HalfHead
+            | CloseReason::Stalled
+            | CloseReason::Wanted => {}
         }
     }
 
-    async fn converse(self: &Rc<Self>, client: &Rc<Client>, socket: Socket) -> CloseReason {
+    async fn converse(self: &Rc<Self>, client: &Rc<ClientConnection>, socket: Socket) -> CloseReason {
         let service = service_fn(|request| {
             let hides = client.hides_length(&request);
             client.last_id.replace(request.headers().get(TRACE_ID).cloned());
-            let busy = Busy::new(client.clone());
+            let busy = RequestInProgress::new(client.clone());
             async move {
                 let mut response = if hides {
                     self.reject(BOTH_FRAMINGS);
@@ -542,13 +552,13 @@
                     client.socket.hold_little();
                 }
                 response.body_mut().hold(busy);
-                Ok::<_, Left>(response)
+                Ok::<_, ClientLeft>(response)
             }
         });
         let mut connection = pin!(
             http1::Builder::new().max_buf_size(self.buffer).serve_connection(TokioIo::new(socket), service)
         );
-        let mut look_at = Instant::now() + IDLE_LIMIT;
+        let mut look_at = Instant::now() + REQUEST_HEAD_TIMEOUT;
         let (mut idle, mut looked_again) = (false, false);
         loop {
             tokio::select! {
@@ -558,12 +568,12 @@
                     Err(e) if e.is_user() => CloseReason::Broken,
                     _ if idle => CloseReason::Wanted,
                     Ok(()) => CloseReason::Answered,
-                    Err(_) => CloseReason::Client,
+                    Err(_) => CloseReason::ClientConnection,
                 },
                 () = client.close.notified() => {
                     // Looked at again: a request may have come since.
                     match client.turn().filter(|_| client.may_close()) {
-                        Some(Turn::Idle) => {
+                        Some(EvictionPriority::IdleConnection) => {
                             // Its last answer may still be on its way out; nothing more is read.
                             connection.as_mut().graceful_shutdown();
                             idle = true;
@@ -573,30 +583,34 @@
                     }
                 }
                 () = tokio::time::sleep_until(look_at.into()) => {
-                    let outstayed = client.outstayed();
+                    let idle_timeout_elapsed = client.idle_timeout_elapsed();
                     // What waits to be read then came in time, if this node had its turn late: it has one more look's
                     // time to be.
-                    let waits = outstayed && !looked_again && !client.socket.quiet();
+                    let waits = idle_timeout_elapsed && !looked_again && !client.socket.quiet();
                     looked_again = waits;
-                    if outstayed && !waits {
+                    if idle_timeout_elapsed && !waits {
                         if client.socket.begun().is_some() {
                             self.reject("half a head");
                             return CloseReason::HalfHead;
                         }
-                        return CloseReason::Idle;
+                        return CloseReason::IdleConnection;
                     }
                     if client.stuck_taking() {
                         self.reject("took nothing more");
                         return CloseReason::Stalled;
                     }
-                    look_at = client.due().max(Instant::now() + LOOK_AGAIN);
+                    look_at = client.response_deadline().max(Instant::now() + TIMEOUT_RECHECK);
                 }
             }
         }
     }
 
-    async fn respond(&self, request: Request<Incoming>, client: &Client) -> Result<LocalReply, Left> {
-        let arrival = Arrival { head: Instant::now(), waited_since: client.waited_since.take() };
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+        client: &ClientConnection,
+    ) -> Result<LocalReply, ClientLeft> {
+        let arrival = ArrivalTime { head: Instant::now(), waited_since: client.waited_since.take() };
         let (head, body) = request.into_parts();
         let path = head.uri.path();
         let mut response = if path == "/api" || path.starts_with("/api/") {
@@ -614,7 +628,7 @@
         } else {
             closing(StatusCode::METHOD_NOT_ALLOWED, "")
         };
-        if self.leaving() || self.crowded() {
+        if self.sends_clients_away() || self.has_too_many_keep_alive() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(response)
@@ -623,7 +637,7 @@
     /// Counts what no backend heard of, and says so now and then.
     fn reject(&self, why: &'static str) {
         *self.rejected.borrow_mut().entry(why.trim_end()).or_default() += 1;
-        if self.rejected_logged.get().is_none_or(|at| at.elapsed() > REJECTED_EVERY) {
+        if self.rejected_logged.get().is_none_or(|at| at.elapsed() > REJECTION_LOG_INTERVAL) {
             self.rejected_logged.set(Some(Instant::now()));
             let told: Vec<String> = std::mem::take(&mut *self.rejected.borrow_mut())
                 .iter()
@@ -635,21 +649,21 @@
 
     /// More clients stay than there are places for to be kept idle: those that ask now are served and go, so
     /// that the next find a place.
-    fn crowded(&self) -> bool {
+    fn has_too_many_keep_alive(&self) -> bool {
         let stay = self.clients.borrow().values().filter(|c| c.asked.get() && !c.over.get()).count();
-        stay > self.descriptors.limit() / KEPT_PART
+        stay > self.descriptors.limit() / KEEP_ALIVE_PART
     }
 
     /// Has a request answered for as long as its client is there. hyper looks for a client's end only where nothing
     /// else is to be read: behind a further request it would show after the answer to this one.
-    async fn ask(&self, reading: Reading, client: &Socket) -> Result<LocalReply, Left> {
-        if self.driver.open() >= self.open_cap {
+    async fn ask(&self, reading: ParsedRequest, client: &Socket) -> Result<LocalReply, ClientLeft> {
+        if self.driver.open() >= self.max_open_requests {
             return Ok(full());
         }
-        let Reading { asked, call, deadline, expires, id: _held } = reading;
+        let ParsedRequest { asked, call, deadline, expires, id: _held } = reading;
         tokio::select! {
             biased;
-            () = client.left() => Err(Left),
+            () = client.left() => Err(ClientLeft),
             answered = async { self.driver.submit(asked, call, deadline, expires).answer().await } => {
                 Ok(answer(answered))
             }
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -1,42 +1,31 @@
-//! One node: the decisions of the crate `birchspoke` on real sockets.
+//! One node: the decisions of the crate `wheelpath` on real sockets.
 
-mod arrival;
-mod clock;
+mod admin;
 mod config;
-mod console;
-mod counters;
 mod discovery;
 mod driver;
-mod guard;
-mod handover;
-mod inherited;
-mod log;
+mod frontend;
+mod observability;
 mod peers;
-mod process;
-mod request;
-mod server;
-mod signals;
-mod socket;
-mod state_file;
+mod snapshot;
 mod system;
-mod trace;
 mod upstream;
 
+use crate::admin::server::AdminServer;
 use crate::config::{Config, ConfigError};
-use crate::console::Console;
-use crate::discovery::{Listing, Watch};
-use crate::driver::{Driver, Input};
-use crate::guard::Guard;
-use crate::handover::Handover;
-use crate::peers::{Nodes, Peers};
-use crate::request::Reader;
-use crate::server::Server;
-use crate::signals::Signals;
-use crate::socket::Descriptors;
-use crate::system::Acceptor;
+use crate::discovery::watch::{Listing, Watch};
+use crate::driver::{Driver, DriverEvent};
+use crate::frontend::request_reader::RequestReader;
+use crate::frontend::server::Server;
+use crate::observability::invariants::InvariantGuard;
+use crate::observability::log;
+use crate::peers::{PeerAddresses, PeerSocket};
+use crate::snapshot::takeover::Takeover;
+use crate::system::inherited_listener;
+use crate::system::signals::SignalReceiver;
+use crate::system::socket::Descriptors;
+use crate::system::syscall_errors::Acceptor;
 use crate::upstream::Upstream;
-use birchspoke::Balancer;
-use birchspoke::interface::ListKind;
 use std::cell::Cell;
 use std::error::Error;
 use std::net::SocketAddr;
@@ -46,6 +35,8 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{mpsc, watch};
 use tokio::task::{LocalSet, spawn_local};
+use wheelpath::policy::Balancer;
+use wheelpath::policy::WatchUpdate;
 
 /// Connections that may wait while this node is busy or out of descriptors.
 const BACKLOG: u32 = 1024;
@@ -75,7 +66,7 @@
 const READ_TRIES: u32 = 5;
 const READ_PAUSE: Duration = Duration::from_millis(40);
 
-async fn read_again() -> Result<Config, ConfigError> {
+async fn reload_with_retries() -> Result<Config, ConfigError> {
     let mut read = Config::reload();
     for _ in 1..READ_TRIES {
         if read.is_ok() {
@@ -89,10 +80,10 @@
 
 /// Reads the configuration again whenever told to. Where discovery is may change under way; all else holds
 /// from start to end. A file that is wrong changes nothing.
-async fn reload(mut hangup: Signals, discovery: watch::Sender<SocketAddr>) {
+async fn reload(mut hangup: SignalReceiver, discovery: watch::Sender<SocketAddr>) {
     loop {
         hangup.recv().await;
-        match read_again().await {
+        match reload_with_retries().await {
             Ok(config) => {
                 log::line(&format!("configuration read again: discovery is at {}", config.discovery));
                 discovery.send_replace(config.discovery);
@@ -104,24 +95,24 @@
 
 async fn run(inherited: Option<std::net::TcpListener>) -> Result<(), Box<dyn Error>> {
     // Before all else: what these signals do by default is to end the process.
-    let mut terminate = system::insist(Signals::terminate).await?;
-    let hangup = system::insist(Signals::hangup).await?;
+    let mut terminate = system::syscall_errors::retry_transient(SignalReceiver::terminate).await?;
+    let hangup = system::syscall_errors::retry_transient(SignalReceiver::hangup).await?;
     let config = Config::load().map_err(|e| format!("configuration: {e}"))?;
     // Where the platform holds the listening socket, another process may serve beside this one.
     let version = Rc::new(Cell::new(None));
-    let handover = inherited.is_some().then(|| Handover::new(version.clone()));
+    let handover = inherited.is_some().then(|| Takeover::new(version.clone()));
     let shared = handover.is_some();
     // What waits in the queue of an inherited socket may be from before this process.
     let listens_since = inherited.is_none().then(Instant::now);
     let listener = match inherited {
         Some(listener) => TcpListener::from_std(listener),
-        None => system::insist(|| listen(&config)).await,
+        None => system::syscall_errors::retry_transient(|| listen(&config)).await,
     };
     let listener = listener.map_err(|e| format!("listen: {}: {e}", config.listen))?;
-    arrival::note_times(&listener);
+    system::accept_time::note_times(&listener);
     let console = match config.console {
         Some(at) => {
-            let bound = system::insist(|| Console::bind(at)).await;
+            let bound = system::syscall_errors::retry_transient(|| AdminServer::bind(at)).await;
             Some(bound.map_err(|e| format!("console: {at}: {e}"))?)
         }
         None => None,
@@ -131,31 +122,41 @@
     let (sockets, memory) =
         if shared { (config.sockets / 2, config.memory / 2) } else { (config.sockets, config.memory) };
     // What is told is of no use beyond what the system allows: clients would take the last of it from all others.
-    let sockets = sockets.min(socket::system_limit().unwrap_or(usize::MAX));
+    let sockets = sockets.min(system::socket::system_limit().unwrap_or(usize::MAX));
     // Whoever calls the console finds a place whatever clients hold.
-    let calls = if config.console.is_some() { console::CALLERS + 1 } else { 0 };
+    let calls = if config.console.is_some() { admin::server::MAX_CONNECTIONS + 1 } else { 0 };
     let descriptors = Descriptors::new(sockets.saturating_sub(calls));
     let buffer = (memory / BUFFERS_PART / sockets.max(1)).clamp(LEAST_BUFFER, MOST_BUFFER);
-    let upstream =
-        Upstream::new(descriptors.clone(), settings.connect_timeout_ms, settings.conn_idle_ms, buffer);
-    let peers = match config.peer_listen.filter(|_| settings.peer_messages) {
+    let upstream = Upstream::new(
+        descriptors.clone(),
+        settings.connect_timeout_ms,
+        settings.idle_connection_timeout_ms,
+        buffer,
+    );
+    let peers = match config.peer_listen.filter(|_| settings.peer_messages_allowed) {
         Some(at) => {
-            let nodes = Nodes { all: config.peers, everyone: config.peers_all, own: settings.slot };
-            let peers = system::insist(|| Peers::new(at, shared, nodes.clone())).await;
+            let nodes =
+                PeerAddresses { all: config.peers, everyone: config.peers_all, own: settings.node_index };
+            let peers =
+                system::syscall_errors::retry_transient(|| PeerSocket::new(at, shared, nodes.clone()))
+                    .await;
             Some(Rc::new(peers.map_err(|e| format!("peer_listen: {at}: {e}"))?))
         }
         None => None,
     };
     let rng = fastrand::Rng::with_seed(!config.seed);
-    let guard = Guard::new(&settings);
+    let guard = InvariantGuard::new(&settings);
     let balancer = Balancer::new(config.settings, config.seed)?;
     let (wish, wishes) = mpsc::unbounded_channel();
     let driver = Driver::new(balancer, guard, upstream.clone(), peers.clone(), wish);
     let names = Rc::new(config.names);
-    driver.take(Input::Start);
-    let known = discovery::listing(&config.known, &names);
+    driver.take(DriverEvent::Start);
+    let known = discovery::watch::listing(&config.known, &names);
     version.set(known.as_ref().and_then(Listing::version));
-    driver.take(Input::List(ListKind::Saved, known.map_or_else(Vec::new, |known| known.targets)));
+    driver.take(DriverEvent::List(
+        WatchUpdate::CachedSnapshot,
+        known.map_or_else(Vec::new, |known| known.targets),
+    ));
     let mut behind = false;
     if let Some(handover) = &handover {
         behind = handover.take_over(&driver);
@@ -190,12 +191,12 @@
     });
     let longest = settings.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
     let longest = Duration::from_secs_f64(longest.clamp(0.0, 1e6) / 1000.0).min(LONGEST_DEADLINE);
-    let reader = Reader::new(names, settings.classes, memory / BODIES_PART);
-    let open_cap = settings.open_cap as usize;
-    let server = Server::new(driver.clone(), reader, open_cap, buffer, descriptors.clone());
+    let reader = RequestReader::new(names, settings.classes, memory / BODIES_PART);
+    let max_open_requests = settings.max_open_requests as usize;
+    let server = Server::new(driver.clone(), reader, max_open_requests, buffer, descriptors.clone());
     if let Some(console) = console {
         spawn_local(
-            Console::new(driver.clone(), server.clone(), handover.clone(), descriptors).accept(console),
+            AdminServer::new(driver.clone(), server.clone(), handover.clone(), descriptors).accept(console),
         );
     }
     let at = listener.local_addr().unwrap_or(config.listen);
@@ -225,7 +226,7 @@
 
 fn main() -> ExitCode {
     // Before anything is opened: what is open now was inherited.
-    let inherited = match inherited::listener() {
+    let inherited = match inherited_listener::listener() {
         Ok(inherited) => inherited,
         Err(e) => {
             log::line(&e.to_string());
--- a/src/node/counters.rs
+++ b/src/node/observability/counters.rs
@@ -1,21 +1,21 @@
 //! What this process has done so far, counted by reason: shown by the console and in the log at the end.
 
-use crate::log;
+use crate::observability::log;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 /// What is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum CounterKind {
     /// Requests by how they ended.
     Answer,
     /// Refusals and failures by the decisions' reason.
-    Refusal,
+    AdminError,
     /// Attempts by their outcome.
     Attempt,
     /// Attempts that were decided on and not begun, as something changed meanwhile.
-    Withheld,
+    WithheldReason,
     /// Connections of clients by why they ended.
     Close,
     /// Changes of readiness by what there is now.
@@ -24,16 +24,16 @@
     Violation,
 }
 
-impl Kind {
+impl CounterKind {
     fn name(self) -> &'static str {
         match self {
-            Kind::Answer => "answer",
-            Kind::Refusal => "refusal",
-            Kind::Attempt => "attempt",
-            Kind::Withheld => "withheld",
-            Kind::Close => "close",
-            Kind::Readiness => "readiness",
-            Kind::Violation => "violation",
+            CounterKind::Answer => "answer",
+            CounterKind::AdminError => "refusal",
+            CounterKind::Attempt => "attempt",
+            CounterKind::WithheldReason => "withheld",
+            CounterKind::Close => "close",
+            CounterKind::Readiness => "readiness",
+            CounterKind::Violation => "violation",
         }
     }
 }
@@ -77,18 +77,18 @@
 /// The counts of one process.
 #[derive(Debug, Default)]
 pub struct Counters {
-    counts: RefCell<BTreeMap<(Kind, &'static str), u64>>,
+    counts: RefCell<BTreeMap<(CounterKind, &'static str), u64>>,
 }
 
 impl Counters {
     /// Counts one more.
-    pub fn count(&self, kind: Kind, name: &'static str) {
+    pub fn count(&self, kind: CounterKind, name: &'static str) {
         *self.counts.borrow_mut().entry((kind, name)).or_default() += 1;
     }
 
     /// Counts a break of an invariant and says so, by the request's id where there is one.
     pub fn violation(&self, violation: Violation, request: &str) {
-        self.count(Kind::Violation, violation.name());
+        self.count(CounterKind::Violation, violation.name());
         log::urgent(&format!("violation: {}: {request}", violation.name()));
     }
 
@@ -96,7 +96,7 @@
     pub fn text(&self) -> String {
         let counts = self.counts.borrow();
         let violations: u64 =
-            counts.iter().filter(|((kind, _), _)| *kind == Kind::Violation).map(|(_, n)| n).sum();
+            counts.iter().filter(|((kind, _), _)| *kind == CounterKind::Violation).map(|(_, n)| n).sum();
         let mut text = format!("violations={violations}");
         for ((kind, name), count) in counts.iter() {
             // Writing to a string does not fail.
--- a/src/node/log.rs
+++ b/src/node/observability/log.rs
@@ -68,7 +68,7 @@
 ///
 /// A log that nobody takes must neither end the node nor hold it up: a line for which there is no room is dropped.
 pub fn urgent(text: &str) {
-    let mut line = format!("applemill: {text}");
+    let mut line = format!("wheelpath-node: {text}");
     line.truncate(line.floor_char_boundary(LONGEST_LINE - 1));
     line.push('\n');
     let written = SINK.with(|sink| sink.get_or_init(Sink::open).write(line.as_bytes()));
@@ -78,7 +78,7 @@
     }
     let lost = LOST.take();
     if lost > 0 {
-        let line = format!("applemill: {lost} lines of the log were lost: nobody took them\n");
+        let line = format!("wheelpath-node: {lost} lines of the log were lost: nobody took them\n");
         SINK.with(|sink| sink.get_or_init(Sink::open).write(line.as_bytes()));
     }
 }
--- a/src/node/trace.rs
+++ b/src/node/observability/request_trace.rs
@@ -1,19 +1,19 @@
 //! What one request met from its arrival to its end, to be written as one line of the log.
 
-use birchspoke::interface::{BackendId, Outcome, Reason};
 use hyper::header::HeaderValue;
 use std::fmt::{self, Display, Formatter};
 use std::time::Instant;
+use wheelpath::policy::{AttemptOutcome, EndpointId, RejectionReason};
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestEnding {
     /// With a server's answer.
     Served,
     /// With a refusal.
-    Refused(Reason),
+    Refused(RejectionReason),
     /// With a failure.
-    Failed(Reason),
+    Failed(RejectionReason),
     /// With a failure, since its time was over before the decisions ended it.
     Expired,
     /// Its client left, or needed nothing more.
@@ -22,23 +22,23 @@
     Stopped,
 }
 
-impl Ending {
+impl RequestEnding {
     /// As counters name it.
     pub fn name(self) -> &'static str {
         match self {
-            Ending::Served => "served",
-            Ending::Refused(_) => "refused",
-            Ending::Failed(_) => "failed",
-            Ending::Expired => "expired",
-            Ending::Left => "left",
-            Ending::Stopped => "stopped",
+            RequestEnding::Served => "served",
+            RequestEnding::Refused(_) => "refused",
+            RequestEnding::Failed(_) => "failed",
+            RequestEnding::Expired => "expired",
+            RequestEnding::Left => "left",
+            RequestEnding::Stopped => "stopped",
         }
     }
 }
 
 /// Why an attempt that was decided on did not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withheld {
+pub enum WithheldReason {
     /// Its request has ended meanwhile.
     RequestOver,
     /// Its server has left meanwhile.
@@ -49,25 +49,25 @@
     BodySpent,
 }
 
-impl Withheld {
+impl WithheldReason {
     /// As logs and counters name it.
     pub fn name(self) -> &'static str {
         match self {
-            Withheld::RequestOver => "request-over",
-            Withheld::ServerWithdrawn => "server-withdrawn",
-            Withheld::RepeatTooLate => "repeat-too-late",
-            Withheld::BodySpent => "body-spent",
+            WithheldReason::RequestOver => "request-over",
+            WithheldReason::ServerWithdrawn => "server-withdrawn",
+            WithheldReason::RepeatTooLate => "repeat-too-late",
+            WithheldReason::BodySpent => "body-spent",
         }
     }
 }
 
 /// One thing that happened to a request.
 #[derive(Clone, Copy, Debug)]
-enum Step {
-    Sent(u32, BackendId),
-    Withheld(Withheld),
-    Ended(u32, Outcome),
-    Answered(Ending),
+enum TraceStep {
+    Sent(u32, EndpointId),
+    WithheldReason(WithheldReason),
+    Ended(u32, AttemptOutcome),
+    Answered(RequestEnding),
 }
 
 /// What a request met.
@@ -76,7 +76,7 @@
     id: Option<HeaderValue>,
     arrived: Instant,
     /// With the time since it arrived, in milliseconds.
-    steps: Vec<(f32, Step)>,
+    steps: Vec<(f32, TraceStep)>,
 }
 
 /// More steps than any request should have; what follows is left out.
@@ -93,35 +93,35 @@
         self.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("?")
     }
 
-    fn note(&mut self, step: Step) {
+    fn note(&mut self, step: TraceStep) {
         if self.steps.len() < MOST_STEPS {
             self.steps.push((self.arrived.elapsed().as_secs_f32() * 1000.0, step));
         }
     }
 
     /// An attempt was decided on.
-    pub fn sent(&mut self, attempt: u32, backend: BackendId) {
-        self.note(Step::Sent(attempt, backend));
+    pub fn sent(&mut self, attempt: u32, endpoint: EndpointId) {
+        self.note(TraceStep::Sent(attempt, endpoint));
     }
 
     /// It did not begin.
-    pub fn withheld(&mut self, why: Withheld) {
-        self.note(Step::Withheld(why));
+    pub fn withheld(&mut self, why: WithheldReason) {
+        self.note(TraceStep::WithheldReason(why));
     }
 
     /// An attempt is over.
-    pub fn ended(&mut self, attempt: u32, outcome: Outcome) {
-        self.note(Step::Ended(attempt, outcome));
+    pub fn ended(&mut self, attempt: u32, outcome: AttemptOutcome) {
+        self.note(TraceStep::Ended(attempt, outcome));
     }
 
     /// The client has its answer.
-    pub fn answered(&mut self, ending: Ending) {
-        self.note(Step::Answered(ending));
+    pub fn answered(&mut self, ending: RequestEnding) {
+        self.note(TraceStep::Answered(ending));
     }
 
     /// Served by its first attempt, with nothing else to tell.
     pub fn went_well(&self) -> bool {
-        let served = |step: &Step| matches!(step, Step::Answered(Ending::Served));
+        let served = |step: &TraceStep| matches!(step, TraceStep::Answered(RequestEnding::Served));
         self.steps.len() == 3 && self.steps.iter().any(|(_, step)| served(step))
     }
 }
@@ -132,12 +132,14 @@
         for (ms, step) in &self.steps {
             write!(f, " {ms:.1} ")?;
             match step {
-                Step::Sent(attempt, backend) => write!(f, "attempt {attempt} to {:016x}", backend.0)?,
-                Step::Withheld(why) => write!(f, "withheld {}", why.name())?,
-                Step::Ended(attempt, outcome) => write!(f, "attempt {attempt} {outcome:?}")?,
-                Step::Answered(Ending::Refused(why)) => write!(f, "refused {}", why.name())?,
-                Step::Answered(Ending::Failed(why)) => write!(f, "failed {}", why.name())?,
-                Step::Answered(ending) => write!(f, "{}", ending.name())?,
+                TraceStep::Sent(attempt, endpoint) => {
+                    write!(f, "attempt {attempt} to {:016x}", endpoint.0)?
+                }
+                TraceStep::WithheldReason(why) => write!(f, "withheld {}", why.name())?,
+                TraceStep::Ended(attempt, outcome) => write!(f, "attempt {attempt} {outcome:?}")?,
+                TraceStep::Answered(RequestEnding::Refused(why)) => write!(f, "refused {}", why.name())?,
+                TraceStep::Answered(RequestEnding::Failed(why)) => write!(f, "failed {}", why.name())?,
+                TraceStep::Answered(ending) => write!(f, "{}", ending.name())?,
             }
             write!(f, ",")?;
         }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,8 +1,8 @@
 //! Datagrams between nodes.
 
-use crate::driver::{Driver, Input};
-use crate::log;
-use crate::system::interrupted;
+use crate::driver::{Driver, DriverEvent};
+use crate::observability::log;
+use crate::system::syscall_errors::interrupted;
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,11 +10,11 @@
 use tokio::net::UdpSocket;
 
 /// A longer datagram breaks the deployment's rules.
-const LONGEST: usize = 256;
+const MAX_LENGTH: usize = 256;
 
 /// Where the nodes of the tier are.
 #[derive(Clone, Debug)]
-pub struct Nodes {
+pub struct PeerAddresses {
     /// All of them, by number.
     pub all: Vec<SocketAddr>,
     /// Reaches every one of them, if there is such an address.
@@ -24,25 +24,25 @@
 }
 
 /// The other nodes of the tier.
-pub struct Peers {
+pub struct PeerSocket {
     socket: UdpSocket,
-    nodes: Nodes,
+    nodes: PeerAddresses,
 }
 
-impl Peers {
+impl PeerSocket {
     /// Listens at `listen`. A `shared` address is also that of the process before this one or after it, for as long as
     /// there are two: each message reaches one of them.
-    pub fn new(listen: SocketAddr, shared: bool, nodes: Nodes) -> std::io::Result<Peers> {
+    pub fn new(listen: SocketAddr, shared: bool, nodes: PeerAddresses) -> std::io::Result<PeerSocket> {
         let socket = Socket::new(Domain::for_address(listen), Type::DGRAM, None)?;
         socket.set_reuse_port(shared)?;
         socket.set_nonblocking(true)?;
         socket.bind(&listen.into())?;
-        Ok(Peers { socket: UdpSocket::from_std(socket.into())?, nodes })
+        Ok(PeerSocket { socket: UdpSocket::from_std(socket.into())?, nodes })
     }
 
     /// Sends to one node or to all others. A message that cannot go is lost, as any may be.
     pub fn send(&self, to: Option<u32>, bytes: &[u8]) {
-        if bytes.len() > LONGEST {
+        if bytes.len() > MAX_LENGTH {
             log::line(&format!("message of {} bytes not sent", bytes.len()));
             return;
         }
@@ -64,13 +64,13 @@
     pub async fn listen(&self, driver: &Rc<Driver>) {
         loop {
             let (from, bytes) = self.receive().await;
-            driver.take(Input::Message(from, bytes));
+            driver.take(DriverEvent::Message(from, bytes));
         }
     }
 
     /// The next message of a node of the tier; strangers and overlong datagrams are not heard.
     async fn receive(&self) -> (u32, Vec<u8>) {
-        let mut buffer = [0_u8; LONGEST + 1];
+        let mut buffer = [0_u8; MAX_LENGTH + 1];
         loop {
             let Ok((length, sender)) = self.socket.recv_from(&mut buffer).await else {
                 // Such as a peer that is down: the system says so of an earlier send.
@@ -79,7 +79,7 @@
             };
             let from = self.nodes.all.iter().zip(0_u32..).find(|(address, _)| **address == sender);
             if let (Some((_, from)), Some(bytes)) = (from, buffer.get(..length))
-                && length <= LONGEST
+                && length <= MAX_LENGTH
             {
                 return (from, bytes.to_vec());
             }
--- a/src/node/state_file.rs
+++ b/src/node/snapshot/state_file.rs
@@ -1,7 +1,7 @@
 //! A small file that outlives the process: replaced in one step, told whole from half by a checksum, and with the last
 //! good one kept beside it.
 
-use crate::process::ProcessId;
+use crate::snapshot::process_id::ProcessId;
 use std::fs::{File, TryLockError};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 const MAGIC: &str = "node-state";
 const VERSION: &str = "2";
 /// A longer file is none of ours.
-const LONGEST: u64 = 1024 * 1024;
+const MAX_LENGTH: u64 = 1024 * 1024;
 const DRAFT: &str = "draft";
 
 /// Why there is nothing to read.
@@ -161,7 +161,7 @@
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
         found => found?.len(),
     };
-    if length > LONGEST {
+    if length > MAX_LENGTH {
         return Err(ReadError::TooLong(length));
     }
     let bytes = match std::fs::read(path) {
--- a/src/node/handover.rs
+++ b/src/node/snapshot/takeover.rs
@@ -7,11 +7,10 @@
 //! While two processes run, either may be called by the operators. Each call that changes who is out of service
 //! raises a number in the file, and a process that finds a higher one than its own takes that over.
 
-use crate::driver::{Driver, Input};
-use crate::log;
-use crate::process::ProcessId;
-use crate::state_file::{Durability, FolderLock, LockError, ReadError, StateFile};
-use birchspoke::interface::{BackendId, Memory};
+use crate::driver::{Driver, DriverEvent};
+use crate::observability::log;
+use crate::snapshot::process_id::ProcessId;
+use crate::snapshot::state_file::{Durability, FolderLock, LockError, ReadError, StateFile};
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -19,19 +18,20 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use thiserror::Error;
+use wheelpath::policy::{EndpointId, EndpointSnapshot};
 
 const CALLS_FILE: &str = "node-calls.json";
 const STATE_FILE: &str = "node-state.json";
 /// How often the files are looked at, and in how many of those turns the state is written.
-const TURN: Duration = Duration::from_millis(200);
-const WRITE_EVERY: u32 = 5;
+const COMPARE_INTERVAL: Duration = Duration::from_millis(200);
+const TURNS_PER_STATE_WRITE: u32 = 5;
 /// A call is answered within a second: for so long it is tried to keep it, and so often.
-const CALL_TIME: Duration = Duration::from_millis(700);
-const CALL_RETRY: Duration = Duration::from_millis(20);
+const OVERRIDE_TIMEOUT: Duration = Duration::from_millis(700);
+const OVERRIDE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a call was not carried out.
 #[derive(Debug, Error)]
-pub enum NotKept {
+pub enum OverrideError {
     /// Another process is about to change the calls, or there can be no lock.
     #[error(transparent)]
     Lock(#[from] LockError),
@@ -42,15 +42,15 @@
 
 /// Who is out of service by the calls of the operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct Calls {
+struct OperatorOverrides {
     /// How many calls have changed that.
     number: u64,
     disabled: BTreeSet<u64>,
 }
 
-impl Calls {
-    fn servers(&self) -> BTreeSet<BackendId> {
-        self.disabled.iter().map(|id| BackendId(*id)).collect()
+impl OperatorOverrides {
+    fn servers(&self) -> BTreeSet<EndpointId> {
+        self.disabled.iter().map(|id| EndpointId(*id)).collect()
     }
 }
 
@@ -61,13 +61,13 @@
     process: ProcessId,
     /// The version of discovery's list that it had.
     list: Option<u64>,
-    servers: Vec<ServerState>,
+    servers: Vec<StoredEndpoint>,
 }
 
 /// What it has learned of a server. Times are spans: neither the clock of another process nor the wall clock, which may
 /// be stepped, can tell a moment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct ServerState {
+struct StoredEndpoint {
     id: u64,
     /// For how long it has been cold, if that is not over.
     cold_for_ms: Option<f64>,
@@ -77,33 +77,33 @@
     served: f64,
 }
 
-impl ServerState {
-    fn new(memory: &Memory, now_ms: f64) -> ServerState {
-        ServerState {
-            id: memory.backend.0,
-            cold_for_ms: memory.cold_since_ms.map(|since| (now_ms - since).max(0.0)),
+impl StoredEndpoint {
+    fn new(memory: &EndpointSnapshot, now_ms: f64) -> StoredEndpoint {
+        StoredEndpoint {
+            id: memory.endpoint.0,
+            cold_for_ms: memory.started_at_ms.map(|since| (now_ms - since).max(0.0)),
             trial_in_ms: memory.prat_ms.map(|at| (at - now_ms).max(0.0)),
-            cap: memory.cap,
-            served: memory.served,
+            cap: memory.concurrency_limit,
+            served: memory.served_per_second,
         }
     }
 
     /// As if no time had passed since it was written: how long that is cannot be known, and what is colder or congested
     /// for longer than need be breaks no rule.
-    fn memory(&self, now_ms: f64) -> Memory {
-        Memory {
-            backend: BackendId(self.id),
-            cold_since_ms: self.cold_for_ms.map(|span| now_ms - span.max(0.0)),
+    fn memory(&self, now_ms: f64) -> EndpointSnapshot {
+        EndpointSnapshot {
+            endpoint: EndpointId(self.id),
+            started_at_ms: self.cold_for_ms.map(|span| now_ms - span.max(0.0)),
             prat_ms: self.trial_in_ms.map(|span| now_ms + span.max(0.0)),
-            cap: self.cap,
-            served: self.served,
+            concurrency_limit: self.cap,
+            served_per_second: self.served,
         }
     }
 }
 
 /// The state of version 1, which is taken over from, too. Its times are of the wall clock and not used.
 #[derive(Debug, Deserialize)]
-struct FirstVersion {
+struct StateVersion1 {
     version: u64,
     pid: u32,
     calls: u64,
@@ -111,15 +111,15 @@
     list: Option<u64>,
 }
 
-impl FirstVersion {
-    fn read(text: &str) -> Option<(Calls, ProcessState)> {
-        let first: FirstVersion =
-            serde_json::from_str(text).ok().filter(|s: &FirstVersion| s.version == 1)?;
+impl StateVersion1 {
+    fn read(text: &str) -> Option<(OperatorOverrides, ProcessState)> {
+        let first: StateVersion1 =
+            serde_json::from_str(text).ok().filter(|s: &StateVersion1| s.version == 1)?;
         let disabled =
             first.out.iter().map(|id| u64::from_str_radix(id, 16).ok()).collect::<Option<_>>()?;
         let process = ProcessId { pid: first.pid, started: 0 };
         let state = ProcessState { process, list: first.list, servers: Vec::new() };
-        Some((Calls { number: first.calls, disabled }, state))
+        Some((OperatorOverrides { number: first.calls, disabled }, state))
     }
 }
 
@@ -130,7 +130,7 @@
 }
 
 /// What this process leaves to the next, and shares with one that runs beside it.
-pub struct Handover {
+pub struct Takeover {
     folder: PathBuf,
     calls_file: StateFile,
     state_file: StateFile,
@@ -147,11 +147,11 @@
     declared: Cell<bool>,
 }
 
-impl Handover {
+impl Takeover {
     /// In the folder for temporary files, which all processes of the node have in common.
-    pub fn new(list: Rc<Cell<Option<u64>>>) -> Rc<Handover> {
+    pub fn new(list: Rc<Cell<Option<u64>>>) -> Rc<Takeover> {
         let (folder, own) = (std::env::temp_dir(), ProcessId::own());
-        Rc::new(Handover {
+        Rc::new(Takeover {
             calls_file: StateFile::new(&folder, CALLS_FILE, own),
             state_file: StateFile::new(&folder, STATE_FILE, own),
             folder,
@@ -164,7 +164,7 @@
         })
     }
 
-    fn read_calls(&self) -> Result<Option<Calls>, String> {
+    fn read_calls(&self) -> Result<Option<OperatorOverrides>, String> {
         parse(self.calls_file.read())
     }
 
@@ -174,7 +174,7 @@
 
     fn write_state(&self, driver: &Driver) {
         let now_ms = driver.clock.now_ms();
-        let servers = driver.memory().iter().map(|memory| ServerState::new(memory, now_ms)).collect();
+        let servers = driver.memory().iter().map(|memory| StoredEndpoint::new(memory, now_ms)).collect();
         let state = ProcessState { process: self.own, list: self.list.get(), servers };
         match self.state_file.write(&to_json(&state), Durability::Visible) {
             Ok(()) => self.declared.set(true),
@@ -193,7 +193,7 @@
     /// Takes over what the process before this one left, and declares this one the serving one. True if that
     /// process knew a newer list than the one given here.
     pub fn take_over(&self, driver: &Rc<Driver>) -> bool {
-        let first_version = self.state_file.read_unchecked().and_then(|text| FirstVersion::read(&text));
+        let first_version = self.state_file.read_unchecked().and_then(|text| StateVersion1::read(&text));
         let (calls, state) = match first_version {
             Some((calls, state)) => (Ok(Some(calls)), Ok(Some(state))),
             None => (self.read_calls(), self.read_state()),
@@ -202,7 +202,7 @@
             Ok(Some(calls)) => {
                 log::line(&format!("handover: {} out of service by earlier calls", calls.disabled.len()));
                 self.call_number.set(calls.number);
-                calls.servers().into_iter().for_each(|id| driver.take(Input::Disable(id)));
+                calls.servers().into_iter().for_each(|id| driver.take(DriverEvent::Disable(id)));
             }
             Ok(None) => {}
             Err(e) => log::line(&format!("handover: calls cannot be used, starts without: {e}")),
@@ -230,7 +230,8 @@
         let (pid, servers) = (state.process.pid, state.servers.len());
         log::line(&format!("handover: from process {pid}: {servers} servers{older}"));
         let now_ms = driver.clock.now_ms();
-        driver.take(Input::Inherit(state.servers.iter().map(|server| server.memory(now_ms)).collect()));
+        driver
+            .take(DriverEvent::Inherit(state.servers.iter().map(|server| server.memory(now_ms)).collect()));
         self.predecessor.set(Some(state.process));
         self.meet(state.process, driver);
         behind
@@ -241,19 +242,26 @@
     pub async fn change(
         &self,
         driver: &Rc<Driver>,
-        server: BackendId,
+        server: EndpointId,
         disable: bool,
-    ) -> Result<bool, NotKept> {
-        let give_up = Instant::now() + CALL_TIME;
+    ) -> Result<bool, OverrideError> {
+        let give_up = Instant::now() + OVERRIDE_TIMEOUT;
         loop {
             match self.try_change(driver, server, disable) {
-                Err(_) if Instant::now() + CALL_RETRY < give_up => tokio::time::sleep(CALL_RETRY).await,
+                Err(_) if Instant::now() + OVERRIDE_RETRY_INTERVAL < give_up => {
+                    tokio::time::sleep(OVERRIDE_RETRY_INTERVAL).await
+                }
                 ended => return ended,
             }
         }
     }
 
-    fn try_change(&self, driver: &Rc<Driver>, server: BackendId, disable: bool) -> Result<bool, NotKept> {
+    fn try_change(
+        &self,
+        driver: &Rc<Driver>,
+        server: EndpointId,
+        disable: bool,
+    ) -> Result<bool, OverrideError> {
         // Nobody else may change the calls between this process's look at them and its write.
         let _lock = FolderLock::take(&self.folder)?;
         let stored = self.read_calls().ok().flatten().unwrap_or_default();
@@ -278,7 +286,7 @@
         }
         self.call_number.set(number);
         if changes {
-            driver.take(if disable { Input::Disable(server) } else { Input::Enable(server) });
+            driver.take(if disable { DriverEvent::Disable(server) } else { DriverEvent::Enable(server) });
             // It is cold from now on, which the next process has to know, however soon it follows.
             self.write_state_if_serving(driver);
         }
@@ -288,19 +296,19 @@
     fn store(
         &self,
         number: u64,
-        servers: &BTreeSet<BackendId>,
+        servers: &BTreeSet<EndpointId>,
         durability: Durability,
     ) -> std::io::Result<()> {
-        let calls = Calls { number, disabled: servers.iter().map(|id| id.0).collect() };
+        let calls = OperatorOverrides { number, disabled: servers.iter().map(|id| id.0).collect() };
         self.calls_file.write(&to_json(&calls), durability)
     }
 
     /// Has this process go by calls that another one was given.
-    fn adopt(&self, calls: &Calls, driver: &Rc<Driver>) {
+    fn adopt(&self, calls: &OperatorOverrides, driver: &Rc<Driver>) {
         self.call_number.set(calls.number);
         let (known, told) = (driver.disabled(), calls.servers());
-        told.difference(&known).for_each(|id| driver.take(Input::Disable(*id)));
-        known.difference(&told).for_each(|id| driver.take(Input::Enable(*id)));
+        told.difference(&known).for_each(|id| driver.take(DriverEvent::Disable(*id)));
+        known.difference(&told).for_each(|id| driver.take(DriverEvent::Enable(*id)));
         log::line(&format!("handover: call {}: {} out of service", calls.number, told.len()));
     }
 
@@ -345,7 +353,7 @@
             None if self.is_other(process) => {
                 log::line(&format!("handover: process {} serves beside this one", process.pid));
                 self.beside.set(Some(process));
-                driver.take(Input::Beside);
+                driver.take(DriverEvent::Beside);
             }
             Some(other) if !self.is_other(other) => {
                 log::line(&format!("handover: process {} has gone", other.pid));
@@ -357,14 +365,14 @@
 
     /// Keeps the files and this process in step for as long as the process lives.
     pub async fn keep(self: Rc<Self>, driver: Rc<Driver>) {
-        let mut turns = tokio::time::interval(TURN);
+        let mut turns = tokio::time::interval(COMPARE_INTERVAL);
         turns.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         for turn in 0_u32.. {
             turns.tick().await;
             let state = self.read_state().ok().flatten();
             self.meet(state.as_ref().map_or(self.own, |state| state.process), &driver);
             self.compare_calls(&driver);
-            if turn % WRITE_EVERY == 0 || !self.declared.get() {
+            if turn % TURNS_PER_STATE_WRITE == 0 || !self.declared.get() {
                 self.write_state_if_serving(&driver);
             }
         }
@@ -377,5 +385,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/handover.rs"]
+#[path = "../../../tests/unit/handover.rs"]
 mod tests;
--- a/src/node/arrival.rs
+++ b/src/node/system/accept_time.rs
@@ -6,7 +6,7 @@
 //! The system notes the time by its wall clock. That may be stepped, and may not be the one that this process is shown, so
 //! the two are compared by a datagram of this process to itself, and no wait is held to be longer than the queue allows.
 
-use crate::system::interrupted;
+use crate::system::syscall_errors::interrupted;
 use nix::sys::socket::{ControlMessageOwned, MsgFlags, recvmsg, setsockopt, sockopt};
 use std::io::{self, IoSliceMut};
 use std::net::{Ipv4Addr, UdpSocket};
--- a/src/node/clock.rs
+++ b/src/node/system/clock.rs
@@ -116,5 +116,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/clock.rs"]
+#[path = "../../../tests/unit/clock.rs"]
 mod tests;
--- a/src/node/inherited.rs
+++ b/src/node/system/inherited_listener.rs
@@ -12,7 +12,7 @@
 
 /// Why there is no socket to take over, though one is named.
 #[derive(Debug, Error)]
-pub enum NoSocket {
+pub enum InheritedListenerError {
     /// What stands there is no descriptor.
     #[error("{VARIABLE}: {0:?} is not the number of a descriptor from {FIRST} on")]
     NoNumber(String),
@@ -30,16 +30,16 @@
 /// The listening socket that the environment names; none where it names none.
 ///
 /// To be called once, before this process opens anything itself: what is open then was inherited.
-pub fn listener() -> Result<Option<TcpListener>, NoSocket> {
+pub fn listener() -> Result<Option<TcpListener>, InheritedListenerError> {
     let Some(word) = std::env::var_os(VARIABLE) else { return Ok(None) };
     let number = word.to_str().and_then(|w| w.parse().ok()).filter(|fd| *fd >= FIRST);
-    let fd = number.ok_or_else(|| NoSocket::NoNumber(word.to_string_lossy().into_owned()))?;
-    let socket = Socket::from(take(fd).ok_or(NoSocket::Closed(fd))?);
+    let fd = number.ok_or_else(|| InheritedListenerError::NoNumber(word.to_string_lossy().into_owned()))?;
+    let socket = Socket::from(take(fd).ok_or(InheritedListenerError::Closed(fd))?);
     let tcp = socket.local_addr().is_ok_and(|at| at.as_socket().is_some());
     if !tcp || !socket.is_listener().unwrap_or(false) {
-        return Err(NoSocket::NotListening(fd));
+        return Err(InheritedListenerError::NotListening(fd));
     }
-    socket.set_nonblocking(true).map_err(|e| NoSocket::System(fd, e))?;
+    socket.set_nonblocking(true).map_err(|e| InheritedListenerError::System(fd, e))?;
     Ok(Some(socket.into()))
 }
 
--- a/src/node/signals.rs
+++ b/src/node/system/signals.rs
@@ -16,30 +16,30 @@
 const LOST_BYTE: Duration = Duration::from_millis(100);
 
 /// One kind of signal. Several that come at once may be told as one.
-pub struct Signals {
+pub struct SignalReceiver {
     raised: Arc<AtomicBool>,
     wake: UnixStream,
 }
 
-impl Signals {
+impl SignalReceiver {
     /// SIGTERM: the process is to end.
-    pub fn terminate() -> io::Result<Signals> {
-        Signals::of(SIGTERM)
+    pub fn terminate() -> io::Result<SignalReceiver> {
+        SignalReceiver::of(SIGTERM)
     }
 
     /// SIGHUP: there is a new configuration.
-    pub fn hangup() -> io::Result<Signals> {
-        Signals::of(SIGHUP)
+    pub fn hangup() -> io::Result<SignalReceiver> {
+        SignalReceiver::of(SIGHUP)
     }
 
-    fn of(signal: i32) -> io::Result<Signals> {
+    fn of(signal: i32) -> io::Result<SignalReceiver> {
         let raised = Arc::new(AtomicBool::new(false));
         let (wake, handler) = StdUnixStream::pair()?;
         wake.set_nonblocking(true)?;
         // In this order: whoever is woken finds the flag set.
         flag::register(signal, raised.clone())?;
         low_level::pipe::register(signal, handler)?;
-        Ok(Signals { raised, wake: UnixStream::from_std(wake)? })
+        Ok(SignalReceiver { raised, wake: UnixStream::from_std(wake)? })
     }
 
     /// Waits for the next one.
--- a/src/node/socket.rs
+++ b/src/node/system/socket.rs
@@ -1,6 +1,6 @@
 //! One TCP socket that counts what goes through it, and the count of all of them against the limit.
 
-use crate::system::{interrupted, out_of_buffers};
+use crate::system::syscall_errors::{interrupted, out_of_buffers};
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
@@ -13,11 +13,11 @@
 
 /// Descriptors kept for all that is not counted or does not wait: standard streams, the poller, the listener,
 /// UDP, discovery, the configuration read again, and a connection just accepted.
-const UNCOUNTED: usize = 24;
+const RESERVED_DESCRIPTORS: usize = 24;
 
 /// What the system may hold unsent of a long answer, in bytes: a client at the slowest pace allowed takes as much
 /// in two seconds.
-const HELD_UNSENT: u32 = 128 * 1024;
+const MAX_UNSENT_BYTES: u32 = 128 * 1024;
 
 /// Closes something idle. True: a descriptor was freed at once; false: none was, or it will be soon.
 type Reclaim = Box<dyn Fn() -> bool>;
@@ -46,7 +46,7 @@
         Rc::new(Descriptors {
             used: Cell::new(0),
             clients: Cell::new(0),
-            limit: sockets.saturating_sub(UNCOUNTED).max(8),
+            limit: sockets.saturating_sub(RESERVED_DESCRIPTORS).max(8),
             freed: Notify::new(),
             backends_idle: RefCell::default(),
             clients_idle: RefCell::default(),
@@ -78,7 +78,7 @@
     }
 
     /// Waits for a place: under pressure something idle is closed for it.
-    pub async fn take(self: &Rc<Self>) -> Slot {
+    pub async fn take(self: &Rc<Self>) -> DescriptorPermit {
         while self.used.get() >= self.limit {
             if !self.relieve() {
                 self.freed().await;
@@ -89,7 +89,7 @@
 
     /// The same for a new client. Clients have two thirds of all places, whoever they are: an attempt for one
     /// that is there is better than one client more, and a connection to a backend is dearer than a client's.
-    pub async fn take_for_client(self: &Rc<Self>) -> Slot {
+    pub async fn take_for_client(self: &Rc<Self>) -> DescriptorPermit {
         let most = self.limit - self.limit / 3;
         while self.clients.get() >= most || self.used.get() >= self.limit {
             let room = self.clients.get() < most;
@@ -104,9 +104,9 @@
     }
 
     /// A place at once, for the node's own calls: these are few, and must not wait behind strangers.
-    pub fn take_own(self: &Rc<Self>) -> Slot {
+    pub fn take_own(self: &Rc<Self>) -> DescriptorPermit {
         self.used.set(self.used.get() + 1);
-        Slot { descriptors: self.clone(), client: false }
+        DescriptorPermit { descriptors: self.clone(), client: false }
     }
 
     /// The wait is bounded: what was asked to close may have turned busy meanwhile.
@@ -116,12 +116,12 @@
 }
 
 /// A place in the count, given back when dropped.
-pub struct Slot {
+pub struct DescriptorPermit {
     descriptors: Rc<Descriptors>,
     client: bool,
 }
 
-impl Drop for Slot {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         let Descriptors { used, clients, freed, .. } = &*self.descriptors;
         used.set(used.get().saturating_sub(1));
@@ -137,8 +137,8 @@
     /// When the first byte was read since the last mark.
     begun: Cell<Option<Instant>>,
     /// Looked for in the heads that come; none where nobody wants to know.
-    lengths: Cell<Option<Lengths>>,
-    _slot: Slot,
+    lengths: Cell<Option<LengthHeaderCounter>>,
+    _slot: DescriptorPermit,
 }
 
 /// The start of a line that tells a body's length, in small letters.
@@ -146,7 +146,7 @@
 
 /// Counts the lines of heads that tell a length.
 #[derive(Clone, Copy, Default)]
-struct Lengths {
+struct LengthHeaderCounter {
     seen: u64,
     /// How much of the line has come that the last byte belongs to, without its end.
     line: usize,
@@ -158,7 +158,7 @@
     body: bool,
 }
 
-impl Lengths {
+impl LengthHeaderCounter {
     fn note(&mut self, byte: u8) {
         match byte {
             b'\n' if self.line == 0 && self.begun => self.body = true,
@@ -182,7 +182,7 @@
 
 impl Socket {
     /// Wraps a connected stream.
-    pub fn new(stream: TcpStream, slot: Slot) -> Socket {
+    pub fn new(stream: TcpStream, slot: DescriptorPermit) -> Socket {
         // Without this small answers wait for acknowledgements; a socket that refuses it still works.
         let _ = stream.set_nodelay(true);
         Socket(Rc::new(Inner {
@@ -209,7 +209,7 @@
     pub fn mark(&self) {
         self.0.begun.set(None);
         let seen = self.lengths();
-        self.0.lengths.set(Some(Lengths { seen, ..Lengths::default() }));
+        self.0.lengths.set(Some(LengthHeaderCounter { seen, ..LengthHeaderCounter::default() }));
     }
 
     /// When that began.
@@ -255,7 +255,7 @@
     /// can still be written. Otherwise megabytes wait there, and nothing moves here for many seconds.
     pub fn hold_little(&self) {
         // Where the system refuses, a slow client is told from one that takes nothing less well.
-        let _ = socket2::SockRef::from(&self.0.stream).set_tcp_notsent_lowat(HELD_UNSENT);
+        let _ = socket2::SockRef::from(&self.0.stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES);
     }
 
     /// Its close will not look like an orderly end.
--- a/src/node/system.rs
+++ b/src/node/system/syscall_errors.rs
@@ -41,7 +41,7 @@
 }
 
 /// Makes a call that the process cannot start without, again and again while the system cannot do it for the moment.
-pub async fn insist<T>(call: impl Fn() -> io::Result<T>) -> io::Result<T> {
+pub async fn retry_transient<T>(call: impl Fn() -> io::Result<T>) -> io::Result<T> {
     let give_up = Instant::now() + START_TIME;
     loop {
         match call() {
--- /dev/null
+++ b/src/policy/balancer.rs
@@ -0,0 +1,202 @@
+//! The balancer: its parts, and which of them an event goes to.
+
+use super::action::Action;
+use super::admission::Admission;
+use super::class_statistics::ClassStatistics;
+use super::connection_scarcity::ConnectionScarcity;
+use super::decision_log::DecisionLog;
+use super::discovery_schedule::DiscoverySchedule;
+use super::endpoint::{EndpointId, EndpointSnapshot, EndpointUpdate};
+use super::endpoint_set::EndpointSet;
+use super::event::{AttemptOutcome, Event, WatchUpdate};
+use super::key_frequency::KeyFrequencySketch;
+use super::load_report::{FleetUtilization, LoadReport};
+use super::pending_request::PendingRequest;
+use super::rejection_log::RejectionLog;
+use super::request::RequestId;
+use super::request_lifecycle::AttemptEnd;
+use super::retry::RetryBudget;
+use super::settings::{DiscoveryMode, Settings, SettingsError};
+use super::slow_start::SlowStartBudget;
+use super::tuning::Tuning;
+use std::collections::HashMap;
+
+/// Token of the timer for housekeeping.
+const HOUSEKEEPING_TIMER: u64 = 1;
+/// Token of the timer for the next poll of discovery.
+const POLL_TIMER: u64 = 2;
+/// Time between two runs of housekeeping is taken for no less than this, in seconds.
+const MIN_HOUSEKEEPING_SECONDS: f64 = 1e-3;
+/// One run of housekeeping moves admission by no more than this time, in seconds: after a stall of the node itself it must
+/// not open or shut at once.
+const MAX_ADMISSION_STEP_SECONDS: f64 = 1.0;
+
+/// The decisions of one node: takes events, answers with actions. The crate's page has an example.
+#[derive(Debug)]
+pub struct Balancer {
+    pub(super) settings: Settings,
+    pub(super) tuning: Tuning,
+    pub(super) rng: fastrand::Rng,
+    pub(super) endpoints: EndpointSet,
+    pub(super) requests: HashMap<RequestId, PendingRequest>,
+    /// By class, in the order of the settings.
+    pub(super) classes: Vec<ClassStatistics>,
+    pub(super) keys: KeyFrequencySketch,
+    pub(super) admission: Admission,
+    pub(super) retry_budget: RetryBudget,
+    pub(super) slow_start: SlowStartBudget,
+    pub(super) utilization: FleetUtilization,
+    pub(super) connections: ConnectionScarcity,
+    /// Share of recent attempts, over all endpoints, that failed.
+    pub(super) fleet_failure_share: f64,
+    /// Attempts in flight.
+    pub(super) in_flight: u32,
+    pub(super) rejection_log: RejectionLog,
+    discovery: DiscoverySchedule,
+    /// When housekeeping last ran, in milliseconds on the balancer's clock.
+    housekeeping_at_ms: f64,
+}
+
+impl Balancer {
+    /// A balancer that knows its settings and nothing else. The same seed and events give the same actions.
+    ///
+    /// # Errors
+    /// Settings that no balancer can run on: no class, or a figure outside its range.
+    pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
+        settings.check()?;
+        let tuning = Tuning::new(&settings);
+        Ok(Balancer {
+            tuning,
+            rng: fastrand::Rng::with_seed(seed),
+            endpoints: EndpointSet::new(&settings),
+            requests: HashMap::new(),
+            classes: vec![ClassStatistics::default(); settings.classes.len()],
+            keys: KeyFrequencySketch::new(),
+            admission: Admission::new(settings.classes.len()),
+            retry_budget: RetryBudget::new(),
+            slow_start: SlowStartBudget::new(&settings, &tuning),
+            utilization: FleetUtilization::default(),
+            connections: ConnectionScarcity::default(),
+            fleet_failure_share: 0.0,
+            in_flight: 0,
+            rejection_log: RejectionLog::default(),
+            discovery: DiscoverySchedule::default(),
+            housekeeping_at_ms: 0.0,
+            settings,
+        })
+    }
+
+    /// Takes one event that happened at `now_ms` on the balancer's clock, and adds what is to be done to `actions`.
+    pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::Start => self.on_start(now_ms, actions),
+            Event::EndpointsChanged { update, endpoints } => {
+                self.on_endpoints_changed(now_ms, update, &endpoints, actions);
+            }
+            Event::Request(request) => self.on_request(now_ms, request, actions),
+            Event::RequestBodyComplete(id) => self.on_body_complete(now_ms, id),
+            Event::ResponseStarted { id, attempt, elapsed_ms, .. } => {
+                let outcome = AttemptOutcome::Answered;
+                let end = AttemptEnd { id, attempt, outcome, request_finished: true, elapsed_ms };
+                self.on_attempt_ended(now_ms, end, &LoadReport::default(), actions);
+            }
+            Event::AttemptEnded { id, attempt, outcome, request_finished, elapsed_ms, load, .. } => {
+                let end = AttemptEnd { id, attempt, outcome, request_finished, elapsed_ms };
+                self.on_attempt_ended(now_ms, end, &load, actions);
+            }
+            Event::ClientDisconnected(id) => self.on_client_disconnected(id, actions),
+            Event::Timer(HOUSEKEEPING_TIMER) => self.on_housekeeping(now_ms, actions),
+            Event::Timer(POLL_TIMER) => actions.push(Action::SetWatch(true)),
+            Event::Disable(id) => {
+                self.endpoints.disable(now_ms, id, &self.slow_start);
+                actions.push(Action::CloseIdleConnections(id));
+            }
+            Event::Enable(id) => self.endpoints.enable(now_ms, id, &self.slow_start, &mut self.rng),
+            Event::SnapshotRestored(snapshot) => {
+                self.endpoints.restore(now_ms, snapshot, &self.slow_start);
+            }
+            Event::HandoverStarted => {
+                self.slow_start.halve_warm_rate();
+                self.endpoints.halve_served_rates();
+            }
+            Event::Timer(_) | Event::PeerMessage { .. } | Event::ProbeEnded { .. } => {}
+        }
+    }
+
+    fn on_start(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        self.housekeeping_at_ms = now_ms;
+        self.schedule_housekeeping(now_ms, actions);
+    }
+
+    fn schedule_housekeeping(&self, now_ms: f64, actions: &mut Vec<Action>) {
+        let at_ms = now_ms + self.tuning.housekeeping_interval_ms;
+        actions.push(Action::Timer { token: HOUSEKEEPING_TIMER, at_ms });
+    }
+
+    fn on_endpoints_changed(
+        &mut self,
+        now_ms: f64,
+        update: WatchUpdate,
+        endpoints: &[EndpointUpdate],
+        actions: &mut Vec<Action>,
+    ) {
+        if update == WatchUpdate::Failure {
+            let longest_ms = self.settings.max_poll_interval_ms;
+            let pause_ms = self.discovery.failed(&self.tuning, longest_ms, &mut self.rng);
+            actions.push(Action::Timer { token: POLL_TIMER, at_ms: now_ms + pause_ms });
+            return;
+        }
+        self.discovery.succeeded();
+        if update == WatchUpdate::CachedSnapshot && self.settings.discovery == DiscoveryMode::Poll {
+            let has_endpoints = !endpoints.is_empty();
+            let wait_ms = DiscoverySchedule::first_poll_in_ms(has_endpoints, &self.tuning, &mut self.rng);
+            actions.push(Action::Timer { token: POLL_TIMER, at_ms: now_ms + wait_ms });
+        }
+        self.endpoints.apply_update(now_ms, update, endpoints, &self.slow_start, &mut self.rng);
+    }
+
+    /// Brings all that fades, fills or is estimated up to date.
+    fn on_housekeeping(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        let seconds = ((now_ms - self.housekeeping_at_ms) / 1000.0).max(MIN_HOUSEKEEPING_SECONDS);
+        self.housekeeping_at_ms = now_ms;
+        self.schedule_housekeeping(now_ms, actions);
+        let warm_rate = self.endpoints.mean_warm_rate(now_ms, &self.slow_start);
+        self.slow_start.observe_warm_rate(warm_rate);
+        self.endpoints.decay(now_ms, seconds, &self.slow_start);
+        self.keys.decay(seconds);
+        self.endpoints.rebuild_placement(now_ms, &self.slow_start);
+        let blocked_share = self.endpoints.blocked_share(now_ms);
+        let fleet = self.fleet_view();
+        let step_seconds = seconds.min(MAX_ADMISSION_STEP_SECONDS);
+        self.admission.update(step_seconds, blocked_share, fleet, &self.settings, &self.classes);
+        self.classes.iter_mut().for_each(|class| class.decay(step_seconds));
+        self.log_rejections(now_ms, actions);
+    }
+
+    fn log_rejections(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
+        let Some(counts) = self.rejection_log.take_due(now_ms) else { return };
+        let live = self.endpoints.in_service().filter(|endpoint| !endpoint.failures.is_congested());
+        actions.push(Action::Log(DecisionLog::RequestsRejected {
+            counts,
+            live_endpoints: live.count(),
+            endpoints: self.endpoints.placement().len(),
+            admission_level: self.admission.level(),
+            overload: self.admission.overload(),
+        }));
+    }
+
+    /// What the next process of this node has to know of the endpoints.
+    pub fn snapshot(&self, now_ms: f64) -> Vec<EndpointSnapshot> {
+        self.endpoints.snapshot(now_ms)
+    }
+
+    /// The endpoints that the operators have out of service.
+    pub fn disabled(&self) -> impl Iterator<Item = EndpointId> {
+        self.endpoints.disabled()
+    }
+
+    /// Whether an endpoint may be sent to, as far as discovery and the operators go.
+    pub fn is_in_service(&self, id: EndpointId) -> bool {
+        self.endpoints.is_in_service(id)
+    }
+}
--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -1,15 +1,15 @@
 //! One small test for each transition of the design and for each failure found.
 mod common;
 
-use birchspoke::Balancer;
-use birchspoke::interface::*;
 use common::{World, class, settings, up};
 use std::collections::BTreeSet;
+use wheelpath::policy::Balancer;
+use wheelpath::policy::*;
 
 /// A world in which every request is safe, on `count` backends.
 fn safe(count: u64) -> World {
     World::with_backends(
-        Settings { classes: vec![class(400.0, 1000.0, Effect::Safe)], ..settings() },
+        Settings { classes: vec![class(400.0, 1000.0, Idempotency::Idempotent)], ..settings() },
         1,
         count,
     )
@@ -19,7 +19,7 @@
 fn trip(w: &mut World) {
     for _ in 0..2 {
         let id = w.ask(0, Some(1));
-        w.end(id, Outcome::Reset);
+        w.end(id, AttemptOutcome::ConnectionReset);
     }
 }
 
@@ -29,10 +29,10 @@
 fn a_backend_is_congested_by_more_than_m_failures_and_then_gets_nothing() {
     let mut w = safe(1);
     let id = w.ask(0, Some(1));
-    w.end(id, Outcome::Reset);
+    w.end(id, AttemptOutcome::ConnectionReset);
     let id = w.ask(0, Some(1));
     assert!(w.at(id).is_some(), "one failure is not more than M");
-    w.end(id, Outcome::Reset);
+    w.end(id, AttemptOutcome::ConnectionReset);
     let id = w.ask(0, Some(1));
     assert_eq!(w.answer(id), Some("refused"), "congested: refused at once");
     assert!(w.logs.iter().any(|l| l.starts_with("congested")));
@@ -44,7 +44,12 @@
     for n in 0..40 {
         let id = w.ask(0, Some(1));
         w.wait(10.0);
-        let quiet = [Outcome::Done, Outcome::Error, Outcome::Full, Outcome::Cancelled];
+        let quiet = [
+            AttemptOutcome::Answered,
+            AttemptOutcome::ErrorResponse,
+            AttemptOutcome::Rejected,
+            AttemptOutcome::Cancelled,
+        ];
         w.end(id, quiet[n % 4]);
         w.wait(400.0);
     }
@@ -55,10 +60,10 @@
 fn failures_leave_the_window() {
     let mut w = safe(1);
     let id = w.ask(0, Some(1));
-    w.end(id, Outcome::Reset);
-    w.wait(w.s.cold_ms);
+    w.end(id, AttemptOutcome::ConnectionReset);
+    w.wait(w.s.slow_start_ms);
     let id = w.ask(0, Some(1));
-    w.end(id, Outcome::Reset);
+    w.end(id, AttemptOutcome::ConnectionReset);
     let id = w.ask(0, Some(1));
     assert!(w.at(id).is_some(), "the first failure is out of the window");
 }
@@ -69,7 +74,7 @@
     let mut w = safe(1);
     for _ in 0..6 {
         let id = w.ask(0, Some(1));
-        w.end(id, Outcome::Reset);
+        w.end(id, AttemptOutcome::ConnectionReset);
         w.wait(11_000.0);
     }
     let tripped = w.logs.iter().any(|l| l.starts_with("congested"));
@@ -85,12 +90,12 @@
     assert!(w.at(trial).is_some());
     let second = w.ask(0, Some(1));
     assert_eq!(w.answer(second), Some("refused"), "one trial at a time");
-    w.end(trial, Outcome::TimedOut);
+    w.end(trial, AttemptOutcome::TimedOut);
     let id = w.ask(0, Some(1));
     assert_eq!(w.answer(id), Some("refused"), "a failed trial sets PRAT again");
     w.wait(6000.0);
     let trial = w.ask(0, Some(1));
-    w.end(trial, Outcome::Done);
+    w.end(trial, AttemptOutcome::Answered);
     assert!(w.logs.iter().any(|l| l.starts_with("live")));
 }
 
@@ -105,7 +110,7 @@
     assert!(w.at(trial).is_some());
     let second = w.ask(0, Some(1));
     assert_eq!(w.answer(second), Some("refused"), "one trial at a time");
-    w.end(trial, Outcome::Done);
+    w.end(trial, AttemptOutcome::Answered);
     let id = w.ask(1, Some(1));
     assert!(w.at(id).is_some(), "live again");
 }
@@ -116,14 +121,14 @@
     trip(&mut w);
     let id = w.ask(0, Some(1));
     let wait = w.trace.iter().rev().find_map(|a| match a {
-        Action::Refuse { id: i, retry_after_ms, .. } if *i == id => Some(*retry_after_ms),
+        Action::Reject { id: i, retry_after_ms, .. } if *i == id => Some(*retry_after_ms),
         _ => None,
     });
     assert!(wait.is_some_and(|ms| ms >= 400.0), "PRAT and T: {wait:?}");
     let mut w = World::new(Settings { retry_after: false, ..settings() }, 1);
     let id = w.ask(0, Some(1));
     assert_eq!(w.answer(id), Some("refused"), "an empty list refuses");
-    let plain = |a: &Action| matches!(a, Action::Refuse { id: i, retry_after_ms: 0.0, .. } if *i == id);
+    let plain = |a: &Action| matches!(a, Action::Reject { id: i, retry_after_ms: 0.0, .. } if *i == id);
     assert!(w.trace.iter().any(plain));
 }
 
@@ -138,8 +143,8 @@
         assert_eq!(a.at(x), b.at(y));
         a.wait(5.0);
         b.wait(5.0);
-        a.end(x, Outcome::Done);
-        b.end(y, Outcome::Done);
+        a.end(x, AttemptOutcome::Answered);
+        b.end(y, AttemptOutcome::Answered);
     }
 }
 
@@ -157,12 +162,12 @@
         let id = w.ask(0, Some(key));
         let at = w.at(id);
         w.wait(5.0);
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
         at
     };
     let before: Vec<_> = (0..100).map(|k| home(&mut w, k)).collect();
-    let gone = up(3).backend;
-    w.list(ListKind::Changes, vec![Entry { health: Health::Gone, ..up(3) }]);
+    let gone = up(3).endpoint;
+    w.list(WatchUpdate::Delta, vec![EndpointUpdate { state: EndpointState::Removed, ..up(3) }]);
     for (key, old) in before.iter().enumerate() {
         let new = home(&mut w, key as u64);
         assert!(new == *old || *old == Some(gone), "key {key} moved without need");
@@ -178,7 +183,7 @@
     assert_eq!(w.answer(ids[59]), Some("refused"), "caps alone block");
     for id in ids {
         w.wait(1.0);
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
     let id = w.ask(0, Some(7));
     assert!(w.at(id).is_some(), "the cap recovers");
@@ -222,7 +227,7 @@
         let id = w.ask_with(0, Some(n), given);
         assert!(w.at(id).is_some(), "request {n} refused");
         w.wait(20.0);
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
     // A try with little left shows its age: it can no longer be answered within the aim.
     let id = w.ask_with(0, Some(1), 300.0);
@@ -257,7 +262,7 @@
         let id = w.ask(0, Some(n));
         sent += usize::from(w.at(id).is_some());
         w.wait(20.0);
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
     assert!(sent >= 40, "{sent} of 50 sent");
 }
@@ -277,10 +282,11 @@
             continue;
         }
         let Some(id) = out.pop_front() else { continue };
-        let spoilt = if n % 2 == 0 { Outcome::Reset } else { Outcome::Error };
+        let spoilt =
+            if n % 2 == 0 { AttemptOutcome::ConnectionReset } else { AttemptOutcome::ErrorResponse };
         let mut first = true;
         while w.at(id).is_some() {
-            w.end(id, if first && n % 5 == 0 { spoilt } else { Outcome::Done });
+            w.end(id, if first && n % 5 == 0 { spoilt } else { AttemptOutcome::Answered });
             first = false;
         }
         refused += usize::from(w.answer(id) == Some("refused"));
@@ -299,14 +305,14 @@
         let id = w.ask(1, Some(n));
         w.wait(5.0);
         if w.at(id).is_some() {
-            w.end(id, Outcome::Reset);
+            w.end(id, AttemptOutcome::ConnectionReset);
             assert_eq!(w.answer(id), Some("failed"));
             broken += 1;
         }
         for n in 0..10 {
             let id = w.ask(0, Some(n));
             w.wait(5.0);
-            w.end(id, Outcome::Done);
+            w.end(id, AttemptOutcome::Answered);
         }
     }
     assert!(broken > 20, "{broken} broken");
@@ -320,7 +326,7 @@
 fn a_backend_that_turns_away_whatever_it_holds_keeps_serving_the_rest() {
     // Found on sockets: half of the fleet turned one class away after a while, however little it held; caps sank
     // to a quarter, and the other class was refused.
-    let mut w = World::with_backends(Settings { instances: 2, ..safe(1).s }, 1, 4);
+    let mut w = World::with_backends(Settings { node_count: 2, ..safe(1).s }, 1, 4);
     w.warm_up(100, 0, 20.0);
     let mut refused = 0;
     for n in 0..600 {
@@ -329,10 +335,10 @@
         let id = w.ask(1, Some(n));
         w.wait(20.0);
         while w.at(turned).is_some() {
-            w.end(turned, Outcome::Full);
+            w.end(turned, AttemptOutcome::Rejected);
         }
         if w.at(id).is_some() {
-            w.end(id, Outcome::Done);
+            w.end(id, AttemptOutcome::Answered);
         }
         refused += usize::from(w.answer(id) == Some("refused"));
     }
@@ -343,7 +349,7 @@
 fn what_is_lost_while_next_to_nothing_is_held_closes_nothing() {
     // Found on sockets: a tenth of attempts got no answer at any load, and admission sank to a fifteenth with a
     // handful in flight at ten backends.
-    let mut w = World::with_backends(Settings { instances: 1, ..settings() }, 1, 10);
+    let mut w = World::with_backends(Settings { node_count: 1, ..settings() }, 1, 10);
     w.warm_up(100, 1, 20.0);
     let mut refused = 0;
     for n in 0..1000 {
@@ -351,9 +357,9 @@
         w.wait(20.0);
         if n % 3 == 0 {
             w.wait(280.0);
-            w.end(id, Outcome::TimedOut);
+            w.end(id, AttemptOutcome::TimedOut);
         } else {
-            w.end(id, Outcome::Done);
+            w.end(id, AttemptOutcome::Answered);
         }
         refused += usize::from(w.answer(id) == Some("refused"));
     }
@@ -364,18 +370,18 @@
 fn a_class_that_hangs_at_some_backends_goes_to_the_others() {
     // Found on sockets: most bids at half of the fleet got no answer while pages there were served; the backends
     // were held congested for both, and keys with both candidates there lost nearly all.
-    let mut w = World::with_backends(Settings { instances: 2, ..settings() }, 1, 8);
+    let mut w = World::with_backends(Settings { node_count: 2, ..settings() }, 1, 8);
     w.warm_up(100, 1, 20.0);
-    let bad: Vec<_> = (1..=4).map(|n| up(n).backend).collect();
+    let bad: Vec<_> = (1..=4).map(|n| up(n).endpoint).collect();
     let (mut lost, mut pages) = (0, 0);
     for n in 0..600 {
         let (page, bid) = (w.ask(0, Some(n % 50)), w.ask(1, Some(n % 50)));
         w.wait(20.0);
         pages += usize::from(w.at(page).is_some_and(|b| bad.contains(&b)));
-        w.end(page, Outcome::Done);
+        w.end(page, AttemptOutcome::Answered);
         let hangs = w.at(bid).is_some_and(|b| bad.contains(&b));
         w.wait(if hangs { 280.0 } else { 20.0 });
-        w.end(bid, if hangs { Outcome::TimedOut } else { Outcome::Done });
+        w.end(bid, if hangs { AttemptOutcome::TimedOut } else { AttemptOutcome::Answered });
         lost += usize::from(w.answer(bid) != Some("done"));
     }
     assert!(lost < 100, "{lost} of 600 bids lost");
@@ -387,7 +393,7 @@
     let mut w = safe(2);
     let ids: Vec<_> = (0..40).map(|_| w.ask(0, Some(7))).collect();
     let refused = |a: &Action| match a {
-        Action::Refuse { retry_after_ms, .. } => Some(*retry_after_ms),
+        Action::Reject { retry_after_ms, .. } => Some(*retry_after_ms),
         _ => None,
     };
     let waits: Vec<f64> = w.trace.iter().filter_map(refused).collect();
@@ -403,7 +409,7 @@
     let hot = (0..100).find_map(|k| {
         let id = w.ask(0, Some(k));
         let at = w.at(id);
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
         at
     });
     let mut refused = 0;
@@ -411,7 +417,7 @@
         let id = w.ask(0, Some(n));
         w.wait(5.0);
         while w.at(id).is_some() {
-            let outcome = if w.at(id) == hot { Outcome::Full } else { Outcome::Done };
+            let outcome = if w.at(id) == hot { AttemptOutcome::Rejected } else { AttemptOutcome::Answered };
             w.end(id, outcome);
         }
         refused += usize::from(w.answer(id) == Some("refused"));
@@ -422,11 +428,11 @@
 #[test]
 fn what_caps_refuse_sheds_the_low_worth_first() {
     // Found in incidents: caps blocked nearly all backends while admission stood open, so chance chose.
-    let low = class(400.0, 1000.0, Effect::Safe);
-    let high = Class { worth: 10.0, ..low.clone() };
+    let low = class(400.0, 1000.0, Idempotency::Idempotent);
+    let high = RequestClass { priority_weight: 10.0, ..low.clone() };
     let s = Settings {
         classes: vec![low, high],
-        goal: Goal { worst_class: 0.0, ..settings().goal },
+        objective_weights: ObjectiveWeights { worst_class: 0.0, ..settings().objective_weights },
         ..settings()
     };
     let mut w = World::with_backends(s, 1, 4);
@@ -442,7 +448,7 @@
         w.wait(5.0);
         while out.front().is_some_and(|(at, _)| *at <= w.now) {
             if let Some((_, id)) = out.pop_front() {
-                w.end(id, Outcome::Done);
+                w.end(id, AttemptOutcome::Answered);
             }
         }
     }
@@ -454,14 +460,14 @@
     // A third of the traffic belongs to three backends that are always late; nearly all of it must go elsewhere.
     let mut w = safe(10);
     w.warm_up(100, 0, 20.0);
-    let late: Vec<_> = (1..=3).map(|n| up(n).backend).collect();
+    let late: Vec<_> = (1..=3).map(|n| up(n).endpoint).collect();
     let mut sent = 0;
     for n in 0..300 {
         let id = w.ask(0, Some(n));
         let is_late = w.at(id).is_some_and(|b| late.contains(&b));
         sent += usize::from(is_late && n >= 100);
         w.wait(if is_late { 390.0 } else { 40.0 });
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
     assert!(sent <= 20, "{sent} of 200 sent to backends that are always late");
 }
@@ -469,12 +475,16 @@
 #[test]
 fn many_nodes_start_with_their_share_of_a_backend() {
     // Found at full size: with 98 nodes, two in flight from each flooded a backend before any had learned.
-    let first = |instances| {
-        let s = Settings { instances, classes: vec![class(400.0, 1000.0, Effect::Safe)], ..settings() };
+    let first = |node_count| {
+        let s = Settings {
+            node_count,
+            classes: vec![class(400.0, 1000.0, Idempotency::Idempotent)],
+            ..settings()
+        };
         let mut w = World::with_backends(s, 1, 1);
         let id = w.ask(0, Some(1));
         w.wait(300.0);
-        w.end(id, Outcome::Full);
+        w.end(id, AttemptOutcome::Rejected);
         let ids: Vec<_> = (0..8).map(|_| w.ask(0, Some(1))).collect();
         ids.into_iter().filter(|id| w.at(*id).is_some()).count()
     };
@@ -492,7 +502,7 @@
         let id = w.ask(0, Some(n));
         w.wait(20.0);
         while w.at(id).is_some() {
-            w.end(id, Outcome::TimedOut);
+            w.end(id, AttemptOutcome::TimedOut);
         }
     }
     let tripped = w.logs.iter().filter(|l| l.starts_with("congested")).count();
@@ -506,7 +516,7 @@
     let ids: Vec<_> = (0..8).map(|n| w.ask(0, Some(n))).collect();
     w.now += 5000.0;
     for id in ids {
-        w.end(id, Outcome::TimedOut);
+        w.end(id, AttemptOutcome::TimedOut);
     }
     assert!(w.logs.is_empty(), "{:?}", w.logs);
 }
@@ -518,17 +528,17 @@
     for n in 0..30 {
         let id = w.ask(0, Some(n));
         w.wait(20.0);
-        let Some(backend) = w.at(id) else { continue };
-        w.asked.get_mut(&id).expect("asked").attempts[0].outcome = Some(Outcome::Done);
+        let Some(endpoint) = w.at(id) else { continue };
+        w.asked.get_mut(&id).expect("asked").attempts[0].outcome = Some(AttemptOutcome::Answered);
         w.asked.get_mut(&id).expect("asked").answer = Some("done");
         let elapsed_ms = [f64::NAN, f64::INFINITY, -5.0][n as usize % 3];
-        let outcome = Outcome::Done;
-        w.feed(Event::Ended {
+        let outcome = AttemptOutcome::Answered;
+        w.feed(Event::AttemptEnded {
             id,
             attempt: 0,
-            backend,
+            endpoint,
             outcome,
-            last: true,
+            request_finished: true,
             elapsed_ms,
             load: Default::default(),
         });
@@ -539,7 +549,7 @@
         let id = w.ask(0, Some(n));
         assert!(w.at(id).is_some(), "request {n} refused");
         w.wait(20.0);
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
 }
 
@@ -552,7 +562,7 @@
         let id = w.ask(0, Some(n));
         w.wait(10.0);
         while w.at(id).is_some() {
-            w.end(id, Outcome::Error);
+            w.end(id, AttemptOutcome::ErrorResponse);
         }
         attempts += w.asked[&id].attempts.len();
     }
@@ -564,28 +574,28 @@
 fn a_silent_backend_is_left_alone_and_cold_when_it_returns() {
     let mut w = safe(2);
     w.warm_up(100, 0, 20.0);
-    let dead = up(1).backend;
+    let dead = up(1).endpoint;
     for n in 0..100 {
         let id = w.ask(0, Some(n));
         w.wait(20.0);
         if w.at(id) == Some(dead) {
             w.wait(400.0);
         }
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
     assert!(w.logs.iter().any(|l| l.starts_with("congested")));
     // A trial finds nobody there, the next is answered: the list still calls it warm, this node does not.
-    for outcome in [Outcome::NotConnected, Outcome::Done] {
+    for outcome in [AttemptOutcome::ConnectFailed, AttemptOutcome::Answered] {
         let trial = loop {
             let id = w.ask(0, Some(1));
             if w.at(id) == Some(dead) {
                 break id;
             }
-            w.end(id, Outcome::Done);
+            w.end(id, AttemptOutcome::Answered);
             w.wait(100.0);
         };
         w.end(trial, outcome);
-        w.end(trial, Outcome::Done);
+        w.end(trial, AttemptOutcome::Answered);
     }
     assert!(w.logs.iter().any(|l| l.starts_with("live") && l.ends_with("held for cold")), "{:?}", w.logs);
     let mut sent = 0;
@@ -593,28 +603,28 @@
         let id = w.ask(0, Some(n));
         sent += usize::from(w.at(id) == Some(dead));
         w.wait(10.0);
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
     assert!(sent < 20, "{sent} of 100 sent to a cold backend");
 }
 
 /// Of 800 requests, how many one of two backends gets after it was back from a silence in which its first trial
 /// ended so.
-fn sent_after_a_failed_trial(outcome: Outcome) -> usize {
+fn sent_after_a_failed_trial(outcome: AttemptOutcome) -> usize {
     let mut w = safe(2);
     w.warm_up(200, 0, 20.0);
     let told = |w: &World, word: &str| w.logs.iter().any(|l| l.starts_with(word));
-    let (dead, mut trials, mut sent) = (up(1).backend, 0, 0);
+    let (dead, mut trials, mut sent) = (up(1).endpoint, 0, 0);
     for n in 0..800 {
         let (congested, live) = (told(&w, "congested"), told(&w, "live"));
         let id = w.ask(0, Some(n));
         w.wait(20.0);
         if w.at(id) == Some(dead) {
             sent += usize::from(live);
-            w.end(id, if trials == 0 { outcome } else { Outcome::Done });
+            w.end(id, if trials == 0 { outcome } else { AttemptOutcome::Answered });
             trials += usize::from(congested);
         }
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
     sent
 }
@@ -623,11 +633,11 @@
 fn only_one_that_nobody_answered_at_is_cold_when_it_returns() {
     // Found on sockets: servers that were slow or lost connections for a moment were held for restarted after
     // one failed trial. With all of them cold, next to nothing was sent anywhere.
-    for outcome in [Outcome::Reset, Outcome::TimedOut] {
+    for outcome in [AttemptOutcome::ConnectionReset, AttemptOutcome::TimedOut] {
         let sent = sent_after_a_failed_trial(outcome);
         assert!(sent > 200, "{sent} sent to a warm one after a trial that ended {outcome:?}");
     }
-    let sent = sent_after_a_failed_trial(Outcome::NotConnected);
+    let sent = sent_after_a_failed_trial(AttemptOutcome::ConnectFailed);
     assert!(sent < 200, "{sent} sent to one that may have restarted");
 }
 
@@ -635,16 +645,16 @@
 fn a_fresh_start_is_within_its_share_of_the_cold_budget() {
     let mut w = safe(4);
     w.warm_up(400, 0, 10.0);
-    let fresh = Entry { ready_at_ms: w.now, ..up(9) };
-    w.list(ListKind::Changes, vec![fresh]);
+    let fresh = EndpointUpdate { started_at_ms: w.now, ..up(9) };
+    w.list(WatchUpdate::Delta, vec![fresh]);
     // A warm backend serves about 25 a second for this node: the cold one may be sent fall_multiple times its
     // present part of that by all four nodes together.
     let (mut sent, from) = (0, w.now);
     for n in 0..150 {
         let id = w.ask(0, Some(n));
-        sent += usize::from(w.at(id) == Some(fresh.backend));
+        sent += usize::from(w.at(id) == Some(fresh.endpoint));
         w.wait(10.0);
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
     let seconds = (w.now - from) / 1000.0;
     let most = 3.0 * 0.3 * 25.0 * seconds;
@@ -654,15 +664,15 @@
 #[test]
 fn a_cold_backend_gets_its_part_from_many_nodes_and_no_more_than_the_budget() {
     let sent = |seed| {
-        let mut w = World::with_backends(Settings { instances: 100, ..safe(1).s }, seed, 10);
+        let mut w = World::with_backends(Settings { node_count: 100, ..safe(1).s }, seed, 10);
         w.warm_up(60, 0, 333.0);
-        let cold = Entry { ready_at_ms: w.now, ..up(11) };
-        w.list(ListKind::Changes, vec![cold]);
+        let cold = EndpointUpdate { started_at_ms: w.now, ..up(11) };
+        w.list(WatchUpdate::Delta, vec![cold]);
         let sent = |w: &mut World, n| {
             let id = w.ask(0, Some(n));
-            let at = w.at(id) == Some(cold.backend);
+            let at = w.at(id) == Some(cold.endpoint);
             w.wait(333.0);
-            w.end(id, Outcome::Done);
+            w.end(id, AttemptOutcome::Answered);
             usize::from(at)
         };
         (0..15).map(|n| sent(&mut w, n)).sum::<usize>()
@@ -677,10 +687,10 @@
 fn a_whole_list_going_empty_or_stale_refuses_and_recovers() {
     let mut w = safe(5);
     w.warm_up(20, 0, 20.0);
-    w.list(ListKind::Full, vec![]);
+    w.list(WatchUpdate::Snapshot, vec![]);
     let id = w.ask(0, Some(1));
     assert_eq!(w.answer(id), Some("refused"));
-    w.list(ListKind::Saved, vec![up(1), up(2)]);
+    w.list(WatchUpdate::CachedSnapshot, vec![up(1), up(2)]);
     let id = w.ask(0, Some(1));
     assert!(w.at(id).is_some());
 }
@@ -690,14 +700,14 @@
     let mut w = safe(6);
     w.warm_up(50, 0, 20.0);
     for n in 0..60 {
-        let health = if n % 2 == 0 { Health::Gone } else { Health::Up };
-        w.list(ListKind::Changes, vec![Entry { health, ..up(1 + n % 3) }]);
+        let state = if n % 2 == 0 { EndpointState::Removed } else { EndpointState::Active };
+        w.list(WatchUpdate::Delta, vec![EndpointUpdate { state, ..up(1 + n % 3) }]);
         let id = w.ask(0, Some(n));
         if n % 7 == 0 {
             w.wait(900.0);
         }
         w.wait(10.0);
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
     let id = w.ask(0, Some(3));
     assert!(w.at(id).is_some());
@@ -705,17 +715,17 @@
 
 #[test]
 fn a_refused_subscription_is_asked_anew_soon_and_at_a_jittered_pace() {
-    let mut w = World::new(Settings { discovery: Discovery::OnRequest, ..settings() }, 1);
-    w.list(ListKind::Saved, vec![]);
+    let mut w = World::new(Settings { discovery: DiscoveryMode::Poll, ..settings() }, 1);
+    w.list(WatchUpdate::CachedSnapshot, vec![]);
     w.wait(1.0);
     assert_eq!(w.watches.len(), 1, "without a list it asks at the start");
     let mut gaps = Vec::new();
     for _ in 0..8 {
         let (asked, from) = (w.watches.len(), w.now);
-        w.feed(Event::List { kind: ListKind::Failed, entries: vec![] });
+        w.feed(Event::EndpointsChanged { update: WatchUpdate::Failure, endpoints: vec![] });
         while w.watches.len() == asked {
             w.wait(50.0);
-            assert!(w.now - from <= w.s.must_ask_in_ms, "deemed told before it asked");
+            assert!(w.now - from <= w.s.max_poll_interval_ms, "deemed told before it asked");
         }
         gaps.push(w.now - from);
     }
@@ -724,19 +734,24 @@
 
 #[test]
 fn however_often_discovery_refuses_its_next_answer_can_be_had_in_time() {
-    for (instances, must_ask_in_ms) in [(1, 10_000.0), (30, 10_000.0), (350, 60_000.0), (350, 1_000.0)] {
-        let s = Settings { discovery: Discovery::OnRequest, instances, must_ask_in_ms, ..settings() };
+    for (node_count, max_poll_interval_ms) in
+        [(1, 10_000.0), (30, 10_000.0), (350, 60_000.0), (350, 1_000.0)]
+    {
+        let s = Settings { discovery: DiscoveryMode::Poll, node_count, max_poll_interval_ms, ..settings() };
         let mut w = World::new(s, 1);
-        w.list(ListKind::Saved, vec![up(1)]);
-        w.wait(must_ask_in_ms / 2.0);
+        w.list(WatchUpdate::CachedSnapshot, vec![up(1)]);
+        w.wait(max_poll_interval_ms / 2.0);
         for n in 0..40 {
             let (asked, from) = (w.watches.len(), w.now);
-            w.feed(Event::List { kind: ListKind::Failed, entries: vec![] });
+            w.feed(Event::EndpointsChanged { update: WatchUpdate::Failure, endpoints: vec![] });
             w.wait(10_000.0);
             // News counts as told after 6 s: time for two pauses and two calls of 2 s, one of which is refused.
             let pause = w.watches[asked] - from;
-            assert!(pause <= 900.0 && pause <= must_ask_in_ms / 2.0, "{instances} nodes, {n}: {pause} ms");
-            assert!(pause >= 20.0, "{instances} nodes, {n}: {pause} ms give discovery no rest");
+            assert!(
+                pause <= 900.0 && pause <= max_poll_interval_ms / 2.0,
+                "{node_count} nodes, {n}: {pause} ms"
+            );
+            assert!(pause >= 20.0, "{node_count} nodes, {n}: {pause} ms give discovery no rest");
             assert_eq!(w.watches.len(), asked + 1);
         }
     }
@@ -750,15 +765,15 @@
 
 #[test]
 fn a_hundred_nodes_that_start_at_once_do_not_ask_discovery_at_once() {
-    let s = Settings { discovery: Discovery::OnRequest, instances: 100, ..settings() };
+    let s = Settings { discovery: DiscoveryMode::Poll, node_count: 100, ..settings() };
     let mut nodes: Vec<World> = (0..100).map(|seed| World::new(s.clone(), seed)).collect();
     for w in &mut nodes {
-        w.list(ListKind::Saved, vec![up(1)]);
-        w.wait(s.must_ask_in_ms / 2.0);
+        w.list(WatchUpdate::CachedSnapshot, vec![up(1)]);
+        w.wait(s.max_poll_interval_ms / 2.0);
         assert_eq!(w.watches.len(), 1, "each asks once, in time");
         // All of these calls are refused at one moment, and the next ones too.
-        w.feed(Event::List { kind: ListKind::Failed, entries: vec![] });
-        w.wait(s.must_ask_in_ms / 2.0);
+        w.feed(Event::EndpointsChanged { update: WatchUpdate::Failure, endpoints: vec![] });
+        w.wait(s.max_poll_interval_ms / 2.0);
         assert_eq!(w.watches.len(), 2);
     }
     let calls = |n: usize| nodes.iter().map(|w| w.watches[n]).collect();
@@ -769,13 +784,15 @@
 #[test]
 fn however_many_nodes_there_are_a_new_one_asks_discovery_soon() {
     // What changed while it was down may count as told a moment after its start.
-    for (instances, must_ask_in_ms) in [(1, 10_000.0), (30, 10_000.0), (350, 10_000.0), (350, 60_000.0)] {
-        let s = Settings { discovery: Discovery::OnRequest, instances, must_ask_in_ms, ..settings() };
+    for (node_count, max_poll_interval_ms) in
+        [(1, 10_000.0), (30, 10_000.0), (350, 10_000.0), (350, 60_000.0)]
+    {
+        let s = Settings { discovery: DiscoveryMode::Poll, node_count, max_poll_interval_ms, ..settings() };
         for seed in 0..100 {
             let mut w = World::new(s.clone(), seed);
-            w.list(ListKind::Saved, vec![up(1)]);
+            w.list(WatchUpdate::CachedSnapshot, vec![up(1)]);
             w.wait(2500.0);
-            assert_eq!(w.watches.len(), 1, "{instances} nodes, seed {seed}: not asked within 2.5 s");
+            assert_eq!(w.watches.len(), 1, "{node_count} nodes, seed {seed}: not asked within 2.5 s");
         }
     }
 }
@@ -786,7 +803,7 @@
 fn unusable_settings_are_a_typed_error() {
     let none = Settings { classes: vec![], ..settings() };
     assert_eq!(Balancer::new(none, 1).err(), Some(SettingsError::NoClass));
-    let odd = Settings { cold_ms: f64::NAN, ..settings() };
+    let odd = Settings { slow_start_ms: f64::NAN, ..settings() };
     assert!(matches!(
         Balancer::new(odd, 1).err(),
         Some(SettingsError::Range { field: "rules.coldMs", .. })
@@ -797,7 +814,7 @@
 fn a_repeat_is_told_until_when_its_key_is_known() {
     let within = |w: &World, id| {
         let sent = w.trace.iter().filter_map(|a| match a {
-            Action::Send { id: i, begin_within_ms, .. } if *i == id => Some(*begin_within_ms),
+            Action::SendAttempt { id: i, begin_within_ms, .. } if *i == id => Some(*begin_within_ms),
             _ => None,
         });
         sent.collect::<Vec<f64>>()
@@ -807,14 +824,14 @@
         let mut w = World::with_backends(settings(), 1, 3);
         let id = w.ask(class, Some(1));
         w.wait(200.0);
-        w.end(id, Outcome::Reset);
+        w.end(id, AttemptOutcome::ConnectionReset);
         assert_eq!(within(&w, id), [f64::INFINITY, left], "class {class}");
     }
     // What surely never ran does not count.
     let mut w = World::with_backends(settings(), 1, 3);
     let id = w.ask(3, Some(1));
     w.wait(200.0);
-    w.end(id, Outcome::NotConnected);
+    w.end(id, AttemptOutcome::ConnectFailed);
     assert_eq!(within(&w, id), [f64::INFINITY; 2]);
 }
 
@@ -823,32 +840,36 @@
 /// One of very many nodes: two candidates tie at nothing in flight.
 fn sparse(count: u64) -> World {
     let s = Settings {
-        classes: vec![class(400.0, 1000.0, Effect::Safe)],
-        instances: 500,
-        reporting: Reporting::Answers,
+        classes: vec![class(400.0, 1000.0, Idempotency::Idempotent)],
+        node_count: 500,
+        load_reporting: LoadReporting::Answers,
         ..settings()
     };
     World::with_backends(s, 1, count)
 }
 
 /// Asks once for a key and answers after `ms` with a report of `busy`; the backend that it went to.
-fn served(w: &mut World, key: u64, busy: impl Fn(BackendId) -> f64) -> Option<BackendId> {
+fn served(w: &mut World, key: u64, busy: impl Fn(EndpointId) -> f64) -> Option<EndpointId> {
     let id = w.ask(0, Some(key));
-    let backend = w.at(id);
+    let endpoint = w.at(id);
     w.wait(30.0);
-    if let Some(b) = backend {
-        w.end_with(id, Outcome::Done, Load { busy: Some(busy(b)), ..Load::default() });
+    if let Some(b) = endpoint {
+        w.end_with(
+            id,
+            AttemptOutcome::Answered,
+            LoadReport { utilization: Some(busy(b)), ..LoadReport::default() },
+        );
     }
     w.wait(100.0);
-    backend
+    endpoint
 }
 
 #[test]
 fn many_nodes_that_have_counted_nothing_do_not_send_a_key_to_two_backends() {
     // What each of a fleet's nodes does with its first request, all of them for one key.
-    let homes = |instances: u32| -> BTreeSet<_> {
+    let homes = |node_count: u32| -> BTreeSet<_> {
         let first = |seed| {
-            let mut w = World::with_backends(Settings { instances, ..settings() }, seed, 40);
+            let mut w = World::with_backends(Settings { node_count, ..settings() }, seed, 40);
             let id = w.ask(0, Some(5));
             w.at(id)
         };
@@ -871,9 +892,9 @@
         } else {
             100 + n
         };
-        let backend = served(&mut w, key, |_| 0.5);
+        let endpoint = served(&mut w, key, |_| 0.5);
         if key <= 2 {
-            homes[key as usize - 1].extend(backend);
+            homes[key as usize - 1].extend(endpoint);
         }
     }
     assert!(homes[0].len() >= 8, "a quarter of all traffic at {} of 40", homes[0].len());
@@ -883,8 +904,8 @@
 #[test]
 fn a_tie_between_candidates_goes_to_the_less_pressed() {
     let mut w = sparse(2);
-    let hot = up(1).backend;
-    let report = |b: BackendId| if b == hot { 0.95 } else { 0.3 };
+    let hot = up(1).endpoint;
+    let report = |b: EndpointId| if b == hot { 0.95 } else { 0.3 };
     for n in 0..20 {
         served(&mut w, n, report);
     }
@@ -899,25 +920,25 @@
     let id = w.ask(0, Some(5));
     let slow = w.at(id).expect("sent");
     w.wait(100.0);
-    w.end(id, Outcome::Done);
+    w.end(id, AttemptOutcome::Answered);
     for _ in 0..4 {
         // Long enough for the pause that a cap below one asks for.
         w.wait(400.0);
         let id = w.ask(0, Some(5));
         assert!(w.at(id).is_some_and(|b| b != slow), "answers of 20 ms are less than one of 100");
         w.wait(20.0);
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
 }
 
 #[test]
 fn one_failure_trips_where_nodes_are_many_and_their_trials_do_not_add_up() {
     for nodes in [50, 100] {
-        let s = Settings { instances: nodes, ..settings() };
+        let s = Settings { node_count: nodes, ..settings() };
         let mut w = World::with_backends(s, 1, 1);
         w.wait(100.0);
         let id = w.ask(0, Some(5));
-        w.end(id, Outcome::TimedOut);
+        w.end(id, AttemptOutcome::TimedOut);
         assert!(w.logs.iter().any(|l| l.starts_with("congested")), "{nodes} nodes: {:?}", w.logs);
         let tripped = w.now;
         while w.asked.values().filter(|a| !a.attempts.is_empty()).count() < 2 {
@@ -932,17 +953,25 @@
 #[test]
 fn a_backend_that_fails_fast_does_not_pass_for_idle() {
     let mut w = sparse(2);
-    let bad = up(1).backend;
+    let bad = up(1).endpoint;
     let mut at_bad = 0;
     for n in 0..120 {
         let id = w.ask(0, Some(n));
         let first = w.at(id);
         w.wait(5.0);
         if first == Some(bad) {
-            w.end_with(id, Outcome::Error, Load { busy: Some(0.05), ..Load::default() });
+            w.end_with(
+                id,
+                AttemptOutcome::ErrorResponse,
+                LoadReport { utilization: Some(0.05), ..LoadReport::default() },
+            );
             at_bad += u32::from(n >= 20);
         }
-        w.end_with(id, Outcome::Done, Load { busy: Some(0.6), ..Load::default() });
+        w.end_with(
+            id,
+            AttemptOutcome::Answered,
+            LoadReport { utilization: Some(0.6), ..LoadReport::default() },
+        );
         w.wait(100.0);
     }
     assert!(at_bad < 30, "{at_bad} of 100 sent first to one that fails");
@@ -953,19 +982,20 @@
     // Found on sockets: reports of `qps` and `inflight` tell no pressure, so a mean of pressure that heard
     // failures alone rose with each of them and closed a fleet that answered well within the aim.
     let mut s = safe(6).s;
-    (s.reporting, s.instances) = (Reporting::Answers, 2);
+    (s.load_reporting, s.node_count) = (LoadReporting::Answers, 2);
     let mut w = World::with_backends(s, 1, 6);
     w.warm_up(100, 0, 20.0);
-    let report = Load { in_hand: Some(2.0), rate: Some(30.0), ..Load::default() };
+    let report =
+        LoadReport { in_flight: Some(2.0), requests_per_second: Some(30.0), ..LoadReport::default() };
     let mut refused = 0;
     for n in 0..1000 {
         let id = w.ask(0, Some(n % 50));
         refused += usize::from(w.at(id).is_none());
         w.wait(20.0);
         if n % 3 == 0 {
-            w.end(id, Outcome::Error);
+            w.end(id, AttemptOutcome::ErrorResponse);
         }
-        w.end_with(id, Outcome::Done, report);
+        w.end_with(id, AttemptOutcome::Answered, report);
     }
     assert_eq!(refused, 0, "of 1000 while one answer in three is an error and all others are quick");
 }
@@ -973,7 +1003,7 @@
 #[test]
 fn clients_in_a_hurry_are_served_where_a_late_answer_has_worth() {
     let mut s = sparse(1).s;
-    s.classes[0].late_worth = 0.2;
+    s.classes[0].late_weight_factor = 0.2;
     let mut w = World::with_backends(s, 1, 4);
     let mut refused = 0;
     for n in 0..200 {
@@ -982,7 +1012,7 @@
         let id = w.ask_with(0, Some(n), given);
         refused += u32::from(w.at(id).is_none());
         w.wait(20.0);
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
     assert_eq!(refused, 0);
 }
@@ -994,9 +1024,9 @@
     for n in 0..200 {
         let id = w.ask(0, Some(n));
         w.wait(10.0);
-        let dead = w.at(id) == Some(up(1).backend);
-        w.end(id, if dead { Outcome::NotConnected } else { Outcome::Done });
-        w.end(id, Outcome::Done);
+        let dead = w.at(id) == Some(up(1).endpoint);
+        w.end(id, if dead { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Answered });
+        w.end(id, AttemptOutcome::Answered);
         w.wait(50.0);
     }
     assert!(w.released.is_empty(), "{:?}", w.released);
@@ -1004,8 +1034,8 @@
     for n in 0..60 {
         let id = w.ask(0, Some(n));
         w.wait(10.0);
-        w.end(id, if n % 2 == 0 { Outcome::NotConnected } else { Outcome::Done });
-        w.end(id, Outcome::Done);
+        w.end(id, if n % 2 == 0 { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Answered });
+        w.end(id, AttemptOutcome::Answered);
         w.wait(50.0);
     }
     assert!(w.released.len() >= 19, "{} of 20", w.released.len());
@@ -1022,7 +1052,11 @@
         asked += 1.0;
         refused += f64::from(u8::from(w.at(id).is_none()));
         w.wait(elapsed);
-        w.end_with(id, Outcome::Done, Load { busy: Some(busy), ..Load::default() });
+        w.end_with(
+            id,
+            AttemptOutcome::Answered,
+            LoadReport { utilization: Some(busy), ..LoadReport::default() },
+        );
         w.wait(20.0);
     }
     refused / asked
@@ -1042,7 +1076,7 @@
 fn all_that_a_node_has_in_flight_is_bounded_by_its_part_of_a_crowd() {
     // 60 backends and 60 nodes: each may hold a few requests at all of them together, not one at each.
     let mut s = sparse(1).s;
-    s.instances = 60;
+    s.node_count = 60;
     let mut w = World::with_backends(s, 1, 60);
     let held = |w: &mut World| {
         (0..60)
@@ -1059,7 +1093,7 @@
 #[test]
 fn a_fleet_that_serves_far_less_than_before_is_never_closed_to_all() {
     // Found on sockets: a node whose fleet slowed down let nothing in for five seconds, with servers usable.
-    let mut w = World::with_backends(Settings { instances: 4, ..sparse(1).s }, 1, 10);
+    let mut w = World::with_backends(Settings { node_count: 4, ..sparse(1).s }, 1, 10);
     refused_at(&mut w, 8000.0, 0.6, 20.0);
     // Ten times slower, while as much is asked as before.
     let (mut last, mut longest) = (w.now, 0.0_f64);
@@ -1071,7 +1105,11 @@
         }
         w.wait(20.0);
         if n % 10 == 0 {
-            w.end_with(id, Outcome::Done, Load { busy: Some(1.0), ..Load::default() });
+            w.end_with(
+                id,
+                AttemptOutcome::Answered,
+                LoadReport { utilization: Some(1.0), ..LoadReport::default() },
+            );
         }
     }
     longest = longest.max(w.now - last);
@@ -1081,8 +1119,8 @@
 #[test]
 fn backends_of_other_zones_are_candidates_less_often_where_crossing_is_priced() {
     let far = |cross_zone| {
-        let prices = Prices { cross_zone, ..Prices::default() };
-        let mut w = World::with_backends(Settings { zone: Some(0), prices, ..sparse(1).s }, 1, 20);
+        let costs = Costs { cross_zone, ..Costs::default() };
+        let mut w = World::with_backends(Settings { zone: Some(0), costs, ..sparse(1).s }, 1, 20);
         (0..200).filter(|n| served(&mut w, *n, |_| 0.3).is_some_and(|b| w.list[&b].zone != 0)).count()
     };
     let (free, priced) = (far(0.0), far(0.05));
@@ -1094,10 +1132,10 @@
 
 /// Sixty patient requests answered within the aim, sixty for which clients allow next to nothing and do not wait,
 /// and sixty patient ones again: how many of the last two were sent.
-fn hurry(marks_retry: bool, retry: bool) -> (usize, usize) {
-    let classes = vec![class(400.0, 1000.0, Effect::Safe)];
-    let mut w = World::with_backends(Settings { classes, marks_retry, ..settings() }, 1, 4);
-    let mut play = |given: f64, retry: bool, outcome: Outcome| {
+fn hurry(clients_mark_retries: bool, retry: bool) -> (usize, usize) {
+    let classes = vec![class(400.0, 1000.0, Idempotency::Idempotent)];
+    let mut w = World::with_backends(Settings { classes, clients_mark_retries, ..settings() }, 1, 4);
+    let mut play = |given: f64, retry: bool, outcome: AttemptOutcome| {
         let sent = |n| {
             let id = w.ask_as(0, Some(n), given, retry);
             w.wait(60.0);
@@ -1106,8 +1144,8 @@
         };
         (0..60).map(sent).filter(|sent| *sent).count()
     };
-    assert_eq!(play(1000.0, false, Outcome::Done), 60);
-    (play(50.0, retry, Outcome::TimedOut), play(1000.0, false, Outcome::Done))
+    assert_eq!(play(1000.0, false, AttemptOutcome::Answered), 60);
+    (play(50.0, retry, AttemptOutcome::TimedOut), play(1000.0, false, AttemptOutcome::Answered))
 }
 
 #[test]
@@ -1122,21 +1160,21 @@
 #[test]
 fn a_disabled_backend_gets_neither_first_tries_nor_retries_nor_spills() {
     let mut w = safe(2);
-    let (out, other) = (up(1).backend, up(2).backend);
+    let (out, other) = (up(1).endpoint, up(2).endpoint);
     w.feed(Event::Disable(out));
     w.feed(Event::Disable(out));
     assert_eq!(w.released.get(&out), Some(&w.now), "its idle connections are closed");
     for n in 0..50 {
         let id = w.ask(0, Some(n));
         assert_eq!(w.at(id), Some(other));
-        w.end(id, if n % 10 == 0 { Outcome::NotConnected } else { Outcome::Done });
+        w.end(id, if n % 10 == 0 { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Answered });
         assert_ne!(w.at(id), Some(out), "a retry");
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
         // The list goes on naming it as up, and as started anew.
-        w.list(ListKind::Changes, vec![Entry { ready_at_ms: w.now, ..up(1) }]);
+        w.list(WatchUpdate::Delta, vec![EndpointUpdate { started_at_ms: w.now, ..up(1) }]);
         w.wait(10.0);
     }
-    w.list(ListKind::Changes, vec![Entry { health: Health::Gone, ..up(2) }]);
+    w.list(WatchUpdate::Delta, vec![EndpointUpdate { state: EndpointState::Removed, ..up(2) }]);
     let id = w.ask(0, Some(1));
     assert_eq!(w.answer(id), Some("refused"), "not even as the last resort");
 }
@@ -1145,7 +1183,7 @@
 fn an_enabled_backend_is_cold_whatever_the_list_says_and_one_call_undoes_two() {
     let mut w = safe(3);
     w.warm_up(300, 0, 10.0);
-    let out = up(1).backend;
+    let out = up(1).endpoint;
     w.feed(Event::Disable(out));
     w.feed(Event::Disable(out));
     w.wait(5000.0);
@@ -1156,7 +1194,7 @@
             let id = w.ask(0, Some(n));
             sent += usize::from(w.at(id) == Some(out));
             w.wait(10.0);
-            w.end(id, Outcome::Done);
+            w.end(id, AttemptOutcome::Answered);
         }
         sent
     };
@@ -1171,19 +1209,19 @@
 
 #[test]
 fn enabling_does_not_bring_back_what_drains_or_is_gone() {
-    for health in [Health::Draining, Health::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut w = safe(2);
-        let out = up(1).backend;
+        let out = up(1).endpoint;
         w.feed(Event::Disable(out));
-        w.list(ListKind::Changes, vec![Entry { health, ..up(1) }]);
+        w.list(WatchUpdate::Delta, vec![EndpointUpdate { state, ..up(1) }]);
         w.feed(Event::Enable(out));
         for n in 0..20 {
             let id = w.ask(0, Some(n));
-            assert_ne!(w.at(id), Some(out), "{health:?}");
-            w.end(id, Outcome::Done);
+            assert_ne!(w.at(id), Some(out), "{state:?}");
+            w.end(id, AttemptOutcome::Answered);
         }
         // Listed again, by a list that calls it old: it comes back cold.
-        w.list(ListKind::Changes, vec![up(1)]);
+        w.list(WatchUpdate::Delta, vec![up(1)]);
         let ids: Vec<_> = (0..20).map(|n| w.ask(0, Some(n))).collect();
         let sent = ids.iter().filter(|id| w.at(**id) == Some(out)).count();
         assert!(sent <= 1, "{sent} at once to a cold backend");
@@ -1196,30 +1234,33 @@
 fn a_process_takes_over_who_is_cold_who_is_congested_and_the_caps() {
     let mut old = safe(3);
     old.warm_up(300, 0, 10.0);
-    let [cold, dead, fine] = [up(1), up(2), up(3)].map(|e| e.backend);
+    let [cold, dead, fine] = [up(1), up(2), up(3)].map(|e| e.endpoint);
     old.feed(Event::Disable(cold));
     old.feed(Event::Enable(cold));
     old.list(
-        ListKind::Changes,
-        vec![Entry { health: Health::Draining, ..up(1) }, Entry { health: Health::Draining, ..up(3) }],
+        WatchUpdate::Delta,
+        vec![
+            EndpointUpdate { state: EndpointState::Draining, ..up(1) },
+            EndpointUpdate { state: EndpointState::Draining, ..up(3) },
+        ],
     );
     while !old.logs.iter().any(|l| l.starts_with("congested")) {
         let id = old.ask(0, Some(1));
-        old.end(id, Outcome::Reset);
+        old.end(id, AttemptOutcome::ConnectionReset);
     }
-    old.list(ListKind::Changes, vec![up(1), up(3)]);
-    let mut memory = old.balancer.memory(old.now);
-    let of = |b: BackendId| memory.iter().find(|m| m.backend == b).expect("told");
-    assert!(of(cold).cold_since_ms.is_some() && of(fine).cold_since_ms.is_none());
+    old.list(WatchUpdate::Delta, vec![up(1), up(3)]);
+    let mut memory = old.balancer.snapshot(old.now);
+    let of = |b: EndpointId| memory.iter().find(|m| m.endpoint == b).expect("told");
+    assert!(of(cold).started_at_ms.is_some() && of(fine).started_at_ms.is_none());
     assert!(of(dead).prat_ms.is_some() && of(fine).prat_ms.is_none());
     let mut new = World::new(old.s.clone(), 2);
     new.now = old.now;
-    new.list(ListKind::Saved, vec![up(1), up(2), up(3)]);
+    new.list(WatchUpdate::CachedSnapshot, vec![up(1), up(2), up(3)]);
     // One small cap, one large one: the old process may still fill that.
-    (memory[0].cap, memory[1].cap) = (0.5, 9.0);
-    new.feed(Event::Inherit(memory.clone()));
-    memory[1].cap = 2.0;
-    assert_eq!(new.balancer.memory(new.now), memory, "as the old process knew it, up to the first cap");
+    (memory[0].concurrency_limit, memory[1].concurrency_limit) = (0.5, 9.0);
+    new.feed(Event::SnapshotRestored(memory.clone()));
+    memory[1].concurrency_limit = 2.0;
+    assert_eq!(new.balancer.snapshot(new.now), memory, "as the old process knew it, up to the first cap");
     let ids: Vec<_> = (0..6).map(|n| new.ask(0, Some(n))).collect();
     let sent = |b| ids.iter().filter(|id| new.at(**id) == Some(b)).count();
     assert_eq!(sent(dead), 0, "nothing before its PRAT");
@@ -1230,30 +1271,30 @@
 #[test]
 fn what_is_taken_over_of_unknown_backends_or_in_odd_figures_does_no_harm() {
     let mut w = safe(1);
-    let odd = |backend, cap| Memory {
-        backend,
-        cold_since_ms: Some(f64::NAN),
+    let odd = |endpoint, cap| EndpointSnapshot {
+        endpoint,
+        started_at_ms: Some(f64::NAN),
         prat_ms: None,
-        cap,
-        served: f64::NAN,
+        concurrency_limit: cap,
+        served_per_second: f64::NAN,
     };
-    w.feed(Event::Inherit(vec![
-        odd(BackendId(77), 1.0),
-        odd(up(1).backend, f64::NAN),
-        odd(up(1).backend, -1.0),
+    w.feed(Event::SnapshotRestored(vec![
+        odd(EndpointId(77), 1.0),
+        odd(up(1).endpoint, f64::NAN),
+        odd(up(1).endpoint, -1.0),
     ]));
     let id = w.ask(0, Some(1));
-    assert_eq!(w.at(id), Some(up(1).backend));
+    assert_eq!(w.at(id), Some(up(1).endpoint));
 }
 
 /// Eight requests at a time, each 5 ms away; how many of them a backend got.
-fn play(w: &mut World, rounds: u64, at: BackendId) -> usize {
+fn play(w: &mut World, rounds: u64, at: EndpointId) -> usize {
     let mut got = 0;
     for n in 0..rounds {
         let ids: Vec<_> = (0..8).map(|k| w.ask(0, Some(8 * n + k))).collect();
         got += ids.iter().filter(|id| w.at(**id) == Some(at)).count();
         w.wait(5.0);
-        ids.into_iter().for_each(|id| w.end(id, Outcome::Done));
+        ids.into_iter().for_each(|id| w.end(id, AttemptOutcome::Answered));
     }
     got
 }
@@ -1270,22 +1311,22 @@
 
 #[test]
 fn a_new_process_starts_small_and_parts_the_cold_budget_with_the_old_one() {
-    let cold = up(1).backend;
+    let cold = up(1).endpoint;
     // Caps that have grown well past the first, and a backend that has just been restarted.
     let grown = || {
-        let mut w = World::with_backends(Settings { instances: 2, ..safe(1).s }, 1, 4);
+        let mut w = World::with_backends(Settings { node_count: 2, ..safe(1).s }, 1, 4);
         play(&mut w, 200, cold);
-        w.list(ListKind::Changes, vec![Entry { ready_at_ms: w.now, ..up(1) }]);
+        w.list(WatchUpdate::Delta, vec![EndpointUpdate { started_at_ms: w.now, ..up(1) }]);
         w
     };
     let split = || {
         let mut old = grown();
         let mut new = World::new(old.s.clone(), 2);
         new.now = old.now;
-        new.list(ListKind::Saved, old.list.values().copied().collect());
-        new.feed(Event::Inherit(old.balancer.memory(old.now)));
-        old.feed(Event::Beside);
-        new.feed(Event::Beside);
+        new.list(WatchUpdate::CachedSnapshot, old.list.values().copied().collect());
+        new.feed(Event::SnapshotRestored(old.balancer.snapshot(old.now)));
+        old.feed(Event::HandoverStarted);
+        new.feed(Event::HandoverStarted);
         [old, new]
     };
     let one = (play(&mut grown(), 40, cold), room(&mut grown()));
@@ -1304,16 +1345,16 @@
 /// How many of the requests of the last second a cold backend gets: of eight at a time, each `answer_ms` away,
 /// over ten seconds in which it was restarted at the start and answers as fast as the others.
 fn cold_share(asked_per_s: u64) -> (usize, usize) {
-    let mut w = World::with_backends(Settings { instances: 2, ..safe(1).s }, 1, 4);
+    let mut w = World::with_backends(Settings { node_count: 2, ..safe(1).s }, 1, 4);
     w.warm_up(500, 0, 5.0);
-    let cold = up(1).backend;
-    w.list(ListKind::Changes, vec![Entry { ready_at_ms: w.now, ..up(1) }]);
+    let cold = up(1).endpoint;
+    w.list(WatchUpdate::Delta, vec![EndpointUpdate { started_at_ms: w.now, ..up(1) }]);
     let mut sent = Vec::new();
     for n in 0..10 * asked_per_s {
         let id = w.ask(0, Some(n));
         sent.push(w.at(id) == Some(cold));
         w.wait(1000.0 / asked_per_s as f64);
-        w.end(id, Outcome::Done);
+        w.end(id, AttemptOutcome::Answered);
     }
     let per_second: Vec<usize> =
         sent.chunks(asked_per_s as usize).map(|s| s.iter().filter(|at| **at).count()).collect();
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -1,8 +1,10 @@
 //! The codec: every message, and lines that are cut, reordered or oversized.
-use birchspoke::interface::*;
-use birchspoke::wire::{Line, Names, WireError, list_kind, settings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use wheelpath::policy::*;
+use wheelpath::settings_file::read as settings;
+use wheelpath::simulator::codec::{Codec, watch_update};
+use wheelpath::simulator::message::{Message, MessageError};
 
 const CONFIG: &str = r#"{"areas": ["a", "b"], "zone": "b", "instances": 3, "unknownKey": [1],
  "classes": [{"name": "page", "semantics": "idempotent", "objectiveMs": 300.0, "hardLimitMs": 900.0, "value": 2.0},
@@ -21,22 +23,25 @@
     "inbox who=3 sender=2 msg=0aff",
 ];
 
-fn names() -> Names {
-    settings(CONFIG).expect("readable settings").1
+fn codec() -> Codec {
+    Codec::new(settings(CONFIG).expect("readable settings").1)
 }
 
-fn read(names: &mut Names, line: &str) -> Result<Event, WireError> {
-    names.event(&Line::parse(line)?)
+fn read(codec: &mut Codec, line: &str) -> Result<Event, MessageError> {
+    codec.read_event(&Message::parse(line)?)
 }
 
 #[test]
 fn settings_are_read_with_defaults() {
     let (s, _) = settings(CONFIG).expect("readable settings");
-    assert_eq!((s.instances, s.max_attempts, s.discovery), (3, 4, Discovery::OnRequest));
-    assert_eq!(s.classes[1].effect, Effect::Keyed(Group::Zone));
-    assert_eq!(s.classes[1].aim_ms, 400.0, "no aim given: the deadline");
-    assert!(s.probes && !s.may_cancel);
-    assert_eq!((s.zone, s.slot, s.weights, s.reporting), (Some(1), 0, Weights::None, Reporting::None));
+    assert_eq!((s.node_count, s.max_attempts, s.discovery), (3, 4, DiscoveryMode::Poll));
+    assert_eq!(s.classes[1].idempotency, Idempotency::WithKey(DeduplicationScope::Zone));
+    assert_eq!(s.classes[1].latency_objective_ms, 400.0, "no aim given: the deadline");
+    assert!(s.probes_allowed && !s.cancellation_allowed);
+    assert_eq!(
+        (s.zone, s.node_index, s.weight_meaning, s.load_reporting),
+        (Some(1), 0, WeightMeaning::None, LoadReporting::None)
+    );
 }
 
 #[test]
@@ -52,15 +57,21 @@
         "rules": {"coldMs": 1, "startCapacity": 0.2, "fallMultiple": 3, "fallMs": 2,
                   "drainGraceMs": 50}}"#;
     let (s, _) = settings(text).expect("readable settings");
-    assert_eq!((s.zone, s.slot, s.weights, s.reporting), (Some(0), 4, Weights::Live, Reporting::Probes));
-    assert_eq!((s.goal.nines, s.goal.full_at_nines, s.classes[0].aim_stretch), (0.2, 2.5, 1.5));
-    assert_eq!((s.peer_messages, s.open_cap, s.max_streams), (true, 10, 2));
-    assert_eq!((s.conn_idle_ms, s.connect_timeout_ms, s.cpu_us_per_s), (9.0, 8.0, 7.0));
-    let p = s.prices;
+    assert_eq!(
+        (s.zone, s.node_index, s.weight_meaning, s.load_reporting),
+        (Some(0), 4, WeightMeaning::Live, LoadReporting::Probes)
+    );
+    assert_eq!(
+        (s.objective_weights.nines, s.objective_weights.full_at_nines, s.classes[0].objective_stretch),
+        (0.2, 2.5, 1.5)
+    );
+    assert_eq!((s.peer_messages_allowed, s.max_open_requests, s.max_streams), (true, 10, 2));
+    assert_eq!((s.idle_connection_timeout_ms, s.connect_timeout_ms, s.cpu_us_per_second), (9.0, 8.0, 7.0));
+    let p = s.costs;
     assert_eq!((p.cross_zone, p.handshake, p.connection, p.late_fail), (0.1, 0.2, 0.3, 0.4));
     assert_eq!((p.waste, p.probe, p.peer), (0.5, 0.6, 0.7));
     assert_eq!(s.drain_grace_ms, 50.0);
-    assert_eq!(s.classes[0].effect, Effect::Unsafe, "no semantics given: the strictest");
+    assert_eq!(s.classes[0].idempotency, Idempotency::NotIdempotent, "no semantics given: the strictest");
 }
 
 #[test]
@@ -83,30 +94,32 @@
 
 #[test]
 fn every_message_is_read() {
-    let mut n = names();
+    let mut n = codec();
     let Ok(Event::Request(r)) = read(&mut n, LINES[0]) else { panic!("a request") };
-    assert_eq!((r.id, r.class, r.deadline_ms, r.retry), (RequestId(41), 0, 99.5, true));
-    let Ok(Event::Ended { outcome, last, load, .. }) = read(&mut n, LINES[1]) else { panic!("an outcome") };
-    assert_eq!((outcome, last), (Outcome::Done, true));
-    assert_eq!(load, Load { busy: Some(0.5), queue: Some(2.0), ..Load::default() });
-    let Ok(Event::Probed { load, .. }) = read(
+    assert_eq!((r.id, r.class, r.deadline_ms, r.is_retry), (RequestId(41), 0, 99.5, true));
+    let Ok(Event::AttemptEnded { outcome, request_finished, load, .. }) = read(&mut n, LINES[1]) else {
+        panic!("an outcome")
+    };
+    assert_eq!((outcome, request_finished), (AttemptOutcome::Answered, true));
+    assert_eq!(load, LoadReport { utilization: Some(0.5), queued: Some(2.0), ..LoadReport::default() });
+    let Ok(Event::ProbeEnded { load, .. }) = read(
         &mut n,
         "probed who=3 disposition=done backend=b1 pressure=lat_ms:7,rif:3,rate:9,fail_rate:1,odd:x",
     ) else {
         panic!("a probe's result")
     };
-    let figures = (load.latency_ms, load.in_hand, load.rate, load.errors);
+    let figures = (load.latency_ms, load.in_flight, load.requests_per_second, load.errors_per_second);
     assert_eq!(figures, (Some(7.0), Some(3.0), Some(9.0), Some(1.0)));
     assert_eq!(read(&mut n, LINES[4]), Ok(Event::Timer(77)));
-    assert_eq!(read(&mut n, LINES[6]), Ok(Event::Message { from: 2, bytes: vec![10, 255] }));
+    assert_eq!(read(&mut n, LINES[6]), Ok(Event::PeerMessage { from: 2, bytes: vec![10, 255] }));
     let unknown = read(&mut n, "demand who=3 requestId=1 priority=other deadlineMs=9");
     assert!(matches!(unknown, Ok(Event::Request(r)) if r.class == usize::MAX));
-    assert_eq!(list_kind("disk"), Ok(ListKind::Saved));
+    assert_eq!(watch_update("disk"), Ok(WatchUpdate::CachedSnapshot));
 }
 
 #[test]
 fn fields_come_in_any_order() {
-    let mut n = names();
+    let mut n = codec();
     for line in LINES {
         let (name, rest) = line.split_once(' ').expect("fields");
         let mut parts: Vec<_> = rest.split(' ').collect();
@@ -117,8 +130,8 @@
 
 #[test]
 fn what_is_wrong_is_said() {
-    let mut n = names();
-    let said = |n: &mut Names, l: &str| read(n, l).err().map(|e| e.to_string()).unwrap_or_default();
+    let mut n = codec();
+    let said = |n: &mut Codec, l: &str| read(n, l).err().map(|e| e.to_string()).unwrap_or_default();
     assert_eq!(said(&mut n, "left who=3"), "field requestId: missing");
     assert_eq!(said(&mut n, "left who=3 requestId=x"), "field requestId: not a whole number");
     assert!(said(&mut n, "dance who=3").contains("unknown message"));
@@ -131,20 +144,29 @@
 
 #[test]
 fn actions_are_written_with_the_names_that_were_heard() {
-    let mut n = names();
-    let entry =
-        n.entry(&Line::parse("backend locality=a health=U backend=b1").expect("a line")).expect("an entry");
+    let mut n = codec();
+    let entry = n
+        .read_endpoint(&Message::parse("backend locality=a health=U backend=b1").expect("a line"))
+        .expect("an entry");
     let mut out = String::new();
-    let (id, backend) = (RequestId(7), entry.backend);
-    n.action(3, &Action::Send { id, backend, timeout_ms: 80.0, begin_within_ms: f64::INFINITY }, &mut out);
-    n.action(
+    let (id, endpoint) = (RequestId(7), entry.endpoint);
+    n.write_action(
+        3,
+        &Action::SendAttempt { id, endpoint, timeout_ms: 80.0, begin_within_ms: f64::INFINITY },
+        &mut out,
+    );
+    n.write_action(
         3,
-        &Action::Refuse { id: RequestId(7), retry_after_ms: 0.0, reason: Reason::Blocked },
+        &Action::Reject {
+            id: RequestId(7),
+            retry_after_ms: 0.0,
+            reason: RejectionReason::NoUsableEndpoint,
+        },
         &mut out,
     );
-    n.action(3, &Action::Release(entry.backend), &mut out);
-    n.action(3, &Action::Tell { to: None, bytes: vec![104, 10] }, &mut out);
-    n.action(3, &Action::Tell { to: Some(5), bytes: vec![] }, &mut out);
+    n.write_action(3, &Action::CloseIdleConnections(entry.endpoint), &mut out);
+    n.write_action(3, &Action::SendPeerMessage { to: None, bytes: vec![104, 10] }, &mut out);
+    n.write_action(3, &Action::SendPeerMessage { to: Some(5), bytes: vec![] }, &mut out);
     let lines: Vec<_> = out.lines().collect();
     assert_eq!(lines[2], "release who=3 backend=b1");
     assert_eq!(lines[3], "announce who=3 neighbourId=all msg=680a");
@@ -160,7 +182,7 @@
     let input = (0..LINES.len(), any::<prop::sample::Index>(), "\\PC{0,40}", 0_usize..5000);
     runner
         .run(&input, |(which, at, noise, pad)| {
-            let mut n = names();
+            let mut n = codec();
             let line = LINES[which];
             let cut = &line[..at.index(line.len())];
             for text in [cut.to_owned(), format!("{cut}{noise}"), format!("{line} x={}", "y".repeat(pad))] {
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -2,11 +2,11 @@
 //! answers at once up to the rate that it can do, late beyond, and what is counted is what the nodes send.
 mod common;
 
-use birchspoke::Balancer;
-use birchspoke::interface::*;
 use common::{settings, up};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
+use wheelpath::policy::Balancer;
+use wheelpath::policy::*;
 
 /// How long an answer takes, and one beyond what its backend can do: past the aim.
 const ANSWER_MS: f64 = 60.0;
@@ -34,7 +34,7 @@
     /// All backends start when the cold one does, and nobody has asked for anything before.
     opening: bool,
     multiple: f64,
-    fall_ms: f64,
+    overload_window_ms: f64,
     /// What a warm backend can do, in requests a second.
     cap: f64,
 }
@@ -50,7 +50,7 @@
     away: None,
     opening: false,
     multiple: 3.0,
-    fall_ms: 1000.0,
+    overload_window_ms: 1000.0,
     cap: 12.0,
 };
 
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy)]
 enum What {
     Timer(u64),
-    Answer(RequestId, BackendId, Outcome, f64),
+    Answer(RequestId, EndpointId, AttemptOutcome, f64),
     Arrival,
     List(u8),
 }
@@ -96,23 +96,24 @@
 /// What the settings allow a cold backend of that age in one window, in requests of mean work.
 fn allowed(s: &Settings, cap: f64, now: f64) -> f64 {
     let age = now - START;
-    let part = s.start_capacity + (1.0 - s.start_capacity) * (age / s.cold_ms).clamp(0.0, 1.0);
-    s.fall_multiple * part * cap * s.fall_ms / 1000.0
+    let part = s.slow_start_initial_capacity
+        + (1.0 - s.slow_start_initial_capacity) * (age / s.slow_start_ms).clamp(0.0, 1.0);
+    s.overload_multiple * part * cap * s.overload_window_ms / 1000.0
 }
 
 fn play(fleet: &Fleet, seed: u64) -> Seen {
     let s = Settings {
-        classes: vec![common::class(500.0, 1000.0, Effect::Safe)],
-        instances: fleet.told_nodes,
-        reporting: Reporting::Answers,
-        fall_ms: fleet.fall_ms,
-        fall_multiple: fleet.multiple,
-        cold_ms: 20_000.0,
+        classes: vec![common::class(500.0, 1000.0, Idempotency::Idempotent)],
+        node_count: fleet.told_nodes,
+        load_reporting: LoadReporting::Answers,
+        overload_window_ms: fleet.overload_window_ms,
+        overload_multiple: fleet.multiple,
+        slow_start_ms: 20_000.0,
         ..settings()
     };
     let mut rng = fastrand::Rng::with_seed(seed);
-    let cold = up(1).backend;
-    let end = START + s.cold_ms;
+    let cold = up(1).endpoint;
+    let end = START + s.slow_start_ms;
     let mut order = 0;
     let mut due: BinaryHeap<Reverse<Due>> = BinaryHeap::new();
     let mut push = |due: &mut BinaryHeap<Reverse<Due>>, at: f64, node: usize, what: What| {
@@ -120,14 +121,18 @@
         due.push(Reverse(Due(at, order, node, what)));
     };
     let mut nodes: Vec<Balancer> = Vec::new();
-    let everyone: Vec<Entry> = (1..=fleet.warm + 1).map(up).collect();
+    let everyone: Vec<EndpointUpdate> = (1..=fleet.warm + 1).map(up).collect();
     let mut out = Vec::new();
     for n in 0..fleet.nodes as usize {
         nodes.push(Balancer::new(s.clone(), seed * 1000 + n as u64).unwrap());
         out.clear();
         nodes[n].handle(0.0, Event::Start, &mut out);
-        let entries = if fleet.opening { Vec::new() } else { everyone.clone() };
-        nodes[n].handle(0.0, Event::List { kind: ListKind::Full, entries }, &mut out);
+        let endpoints = if fleet.opening { Vec::new() } else { everyone.clone() };
+        nodes[n].handle(
+            0.0,
+            Event::EndpointsChanged { update: WatchUpdate::Snapshot, endpoints },
+            &mut out,
+        );
         for a in &out {
             if let Action::Timer { token, at_ms } = a {
                 push(&mut due, at_ms + rng.f64() * 100.0, n, What::Timer(*token));
@@ -145,27 +150,31 @@
             let mut b = Balancer::new(s.clone(), 1).unwrap();
             let mut out = Vec::new();
             b.handle(0.0, Event::Start, &mut out);
-            b.handle(0.0, Event::List { kind: ListKind::Full, entries: everyone.clone() }, &mut out);
+            b.handle(
+                0.0,
+                Event::EndpointsChanged { update: WatchUpdate::Snapshot, endpoints: everyone.clone() },
+                &mut out,
+            );
             let request = Request {
                 id: RequestId(1),
                 class: 0,
                 key: Some(*key),
                 deadline_ms: 1000.0,
-                effort_ms: None,
-                waited_ms: 0.0,
-                retry: false,
+                estimated_cost_ms: None,
+                queued_ms: 0.0,
+                is_retry: false,
             };
             out.clear();
             b.handle(1.0, Event::Request(request), &mut out);
-            matches!(out[..], [Action::Send { backend, .. }, ..] if backend == cold)
+            matches!(out[..], [Action::SendAttempt { endpoint, .. }, ..] if endpoint == cold)
         })
         .unwrap();
     // Some nodes see several times the mean.
-    let weights: Vec<f64> = (0..nodes.len()).map(|_| 0.3 + rng.f64() * 1.4).collect();
-    let total: f64 = weights.iter().sum();
+    let weight_meaning: Vec<f64> = (0..nodes.len()).map(|_| 0.3 + rng.f64() * 1.4).collect();
+    let total: f64 = weight_meaning.iter().sum();
     let rate = fleet.load * fleet.cap * (fleet.warm + 1) as f64 / 1000.0;
     push(&mut due, if fleet.opening { START } else { 0.0 }, 0, What::Arrival);
-    let mut rooms: HashMap<BackendId, (f64, f64)> = HashMap::new();
+    let mut rooms: HashMap<EndpointId, (f64, f64)> = HashMap::new();
     let mut attempts: HashMap<RequestId, u32> = HashMap::new();
     let mut told = vec![false; nodes.len()];
     let (mut sent, mut warm_sent, mut next_id) = (Vec::new(), 0_u64, 0_u64);
@@ -177,24 +186,37 @@
         let mut at = node;
         match what {
             What::Timer(token) => nodes[node].handle(now, Event::Timer(token), &mut out),
-            What::Answer(id, backend, outcome, sent) => {
+            What::Answer(id, endpoint, outcome, sent) => {
                 let attempt = attempts[&id] - 1;
-                let (last, elapsed_ms, load) = (outcome == Outcome::Done, now - sent, Load::default());
-                let ended = Event::Ended { id, attempt, backend, outcome, last, elapsed_ms, load };
+                let (last, elapsed_ms, load) =
+                    (outcome == AttemptOutcome::Answered, now - sent, LoadReport::default());
+                let ended = Event::AttemptEnded {
+                    id,
+                    attempt,
+                    endpoint,
+                    outcome,
+                    request_finished: last,
+                    elapsed_ms,
+                    load,
+                };
                 nodes[node].handle(now, ended, &mut out);
             }
             What::List(n) => {
                 told[node] = true;
-                let entries = match (n, fleet.leave) {
+                let endpoints = match (n, fleet.leave) {
                     _ if fleet.opening => {
-                        everyone.iter().map(|e| Entry { ready_at_ms: START, ..*e }).collect()
-                    }
-                    (0, _) | (_, None) => vec![Entry { ready_at_ms: START, ..up(1) }],
-                    (_, Some((_, gone))) => {
-                        (2..2 + gone).map(|n| Entry { health: Health::Gone, ..up(n) }).collect()
+                        everyone.iter().map(|e| EndpointUpdate { started_at_ms: START, ..*e }).collect()
                     }
+                    (0, _) | (_, None) => vec![EndpointUpdate { started_at_ms: START, ..up(1) }],
+                    (_, Some((_, gone))) => (2..2 + gone)
+                        .map(|n| EndpointUpdate { state: EndpointState::Removed, ..up(n) })
+                        .collect(),
                 };
-                nodes[node].handle(now, Event::List { kind: ListKind::Changes, entries }, &mut out);
+                nodes[node].handle(
+                    now,
+                    Event::EndpointsChanged { update: WatchUpdate::Delta, endpoints },
+                    &mut out,
+                );
             }
             What::Arrival => {
                 let factor = match fleet.burst {
@@ -205,7 +227,7 @@
                 };
                 push(&mut due, now - rng.f64().max(1e-12).ln() / (rate * factor), 0, What::Arrival);
                 let mut draw = rng.f64() * total;
-                at = weights
+                at = weight_meaning
                     .iter()
                     .position(|w| {
                         draw -= w;
@@ -219,9 +241,9 @@
                     class: 0,
                     key: Some(key),
                     deadline_ms: now + 1000.0,
-                    effort_ms: None,
-                    waited_ms: 0.0,
-                    retry: false,
+                    estimated_cost_ms: None,
+                    queued_ms: 0.0,
+                    is_retry: false,
                 };
                 nodes[at].handle(now, Event::Request(request), &mut out);
             }
@@ -229,27 +251,27 @@
         for action in &out {
             match action {
                 Action::Timer { token, at_ms } => push(&mut due, *at_ms, at, What::Timer(*token)),
-                Action::Send { id, backend, .. } => {
+                Action::SendAttempt { id, endpoint, .. } => {
                     *attempts.entry(*id).or_default() += 1;
-                    let cold_now = *backend == cold && now >= START;
+                    let cold_now = *endpoint == cold && now >= START;
                     let able = if cold_now {
-                        allowed(&s, fleet.cap, now) / s.fall_multiple / s.fall_ms
+                        allowed(&s, fleet.cap, now) / s.overload_multiple / s.overload_window_ms
                     } else {
                         fleet.cap / 1000.0
                     };
-                    let (room, at_ms) = rooms.entry(*backend).or_insert((0.0, 0.0));
+                    let (room, at_ms) = rooms.entry(*endpoint).or_insert((0.0, 0.0));
                     *room = (*room + (now - *at_ms) * able).min((able * 500.0).max(1.0));
                     *at_ms = now;
                     let away = fleet
                         .away
-                        .is_some_and(|(ms, _)| *backend == cold && (START - ms..START).contains(&now));
+                        .is_some_and(|(ms, _)| *endpoint == cold && (START - ms..START).contains(&now));
                     let (takes, outcome) = match *room >= 1.0 {
-                        _ if away => (1.0, Outcome::NotConnected),
-                        true => (ANSWER_MS, Outcome::Done),
-                        false => (LATE_MS, Outcome::Done),
+                        _ if away => (1.0, AttemptOutcome::ConnectFailed),
+                        true => (ANSWER_MS, AttemptOutcome::Answered),
+                        false => (LATE_MS, AttemptOutcome::Answered),
                     };
                     *room -= f64::from(u8::from(*room >= 1.0));
-                    push(&mut due, now + takes, at, What::Answer(*id, *backend, outcome, now));
+                    push(&mut due, now + takes, at, What::Answer(*id, *endpoint, outcome, now));
                     if cold_now {
                         sent.push((now, told[at]));
                     } else if now >= end - 2000.0 {
@@ -262,7 +284,8 @@
     }
     let mut over = f64::NEG_INFINITY;
     for (i, (at, _)) in sent.iter().enumerate() {
-        let window: Vec<_> = sent[..=i].iter().rev().take_while(|(t, _)| *t > at - s.fall_ms).collect();
+        let window: Vec<_> =
+            sent[..=i].iter().rev().take_while(|(t, _)| *t > at - s.overload_window_ms).collect();
         let by_told = window.iter().filter(|(_, told)| *told).count();
         let n = allowed(&s, fleet.cap, *at);
         // Nobody is to blame for what those send that have not been told.
@@ -300,7 +323,7 @@
             ("an opening", Fleet { opening: true, ..fleet.clone() }),
             ("an opening with much asked", Fleet { opening: true, load: 1.5, ..fleet.clone() }),
             ("an opening of small ones", Fleet { opening: true, cap: 5.0, ..fleet.clone() }),
-            ("a long window", Fleet { fall_ms: 3000.0, hot: 0.2, ..fleet.clone() }),
+            ("a long window", Fleet { overload_window_ms: 3000.0, hot: 0.2, ..fleet.clone() }),
         ]);
         if few {
             all.extend([2, 6, 20, 30].map(|n| {
@@ -311,7 +334,7 @@
                         told_nodes: n,
                         load: 0.9,
                         multiple: 1.5,
-                        fall_ms: 500.0,
+                        overload_window_ms: 500.0,
                         ..fleet.clone()
                     },
                 )
