--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,28 +2,36 @@
 //! tests say what happens.
 #![allow(dead_code)]
 
-use birchspoke::Balancer;
-use birchspoke::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
+use wheelpath::policy::Balancer;
+use wheelpath::policy::*;
 
 /// Time past the client's deadline in which an answer still counts, as the users' bench has it.
 const ANSWER_SLACK_MS: f64 = 20.0;
 
-pub fn class(aim_ms: f64, deadline_ms: f64, effect: Effect) -> Class {
-    Class { aim_ms, deadline_ms, worth: 1.0, late_worth: 0.0, effect, key_ttl_ms: 1000.0, aim_stretch: 0.0 }
+pub fn class(latency_objective_ms: f64, deadline_ms: f64, idempotency: Idempotency) -> RequestClass {
+    RequestClass {
+        latency_objective_ms,
+        deadline_ms,
+        priority_weight: 1.0,
+        late_weight_factor: 0.0,
+        idempotency,
+        deduplication_window_ms: 1000.0,
+        objective_stretch: 0.0,
+    }
 }
 
 /// Settings of no deployment.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(400.0, 1000.0, Effect::Safe),
-            class(300.0, 800.0, Effect::Unsafe),
-            class(300.0, 800.0, Effect::Keyed(Group::Zone)),
-            class(300.0, 800.0, Effect::Keyed(Group::All)),
-            class(300.0, 800.0, Effect::Keyed(Group::Cell)),
+            class(400.0, 1000.0, Idempotency::Idempotent),
+            class(300.0, 800.0, Idempotency::NotIdempotent),
+            class(300.0, 800.0, Idempotency::WithKey(DeduplicationScope::Zone)),
+            class(300.0, 800.0, Idempotency::WithKey(DeduplicationScope::All)),
+            class(300.0, 800.0, Idempotency::WithKey(DeduplicationScope::Cell)),
         ],
-        goal: Goal {
+        objective_weights: ObjectiveWeights {
             whole: 0.5,
             worst_window: 0.2,
             worst_class: 0.2,
@@ -31,50 +39,53 @@
             nines: 0.0,
             full_at_nines: 3.0,
         },
-        prices: Prices::default(),
-        instances: 4,
-        slot: 0,
+        costs: Costs::default(),
+        node_count: 4,
+        node_index: 0,
         zone: None,
-        weights: Weights::Nominal,
-        reporting: Reporting::None,
-        discovery: Discovery::Pushed,
+        weight_meaning: WeightMeaning::Nominal,
+        load_reporting: LoadReporting::None,
+        discovery: DiscoveryMode::Push,
         max_attempts: 3,
-        may_cancel: true,
-        second_copies: false,
+        cancellation_allowed: true,
+        hedging_allowed: false,
         retry_after: true,
         max_retry_after_ms: 2000.0,
-        probes: false,
-        peer_messages: false,
-        open_cap: 1000,
+        probes_allowed: false,
+        peer_messages_allowed: false,
+        max_open_requests: 1000,
         max_streams: 1,
-        conn_idle_ms: 15_000.0,
+        idle_connection_timeout_ms: 15_000.0,
         connect_timeout_ms: 250.0,
-        cpu_us_per_s: 0.0,
-        over_share_worth: 0.1,
-        marks_retry: false,
-        worth_by_work: false,
+        cpu_us_per_second: 0.0,
+        over_quota_weight_factor: 0.1,
+        clients_mark_retries: false,
+        weigh_by_work: false,
         warm_keys: false,
-        cold_ms: 20_000.0,
-        start_capacity: 0.2,
-        fall_multiple: 3.0,
-        fall_ms: 1500.0,
+        slow_start_ms: 20_000.0,
+        slow_start_initial_capacity: 0.2,
+        overload_multiple: 3.0,
+        overload_window_ms: 1500.0,
         drain_grace_ms: 500.0,
-        must_ask_in_ms: 10_000.0,
-        tick_ms: 5.0,
+        max_poll_interval_ms: 10_000.0,
+        batch_interval_ms: 5.0,
     }
 }
 
 /// The operators' proof that an attempt never ran, written here again so that the module is not its own judge.
-fn proven(outcome: Option<Outcome>) -> bool {
-    matches!(outcome, Some(Outcome::NotConnected | Outcome::Skipped | Outcome::Full))
+fn proven(outcome: Option<AttemptOutcome>) -> bool {
+    matches!(
+        outcome,
+        Some(AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent | AttemptOutcome::Rejected)
+    )
 }
 
 #[derive(Debug)]
 pub struct Sent {
-    pub backend: BackendId,
+    pub endpoint: EndpointId,
     pub at: f64,
     pub ends: f64,
-    pub outcome: Option<Outcome>,
+    pub outcome: Option<AttemptOutcome>,
 }
 
 #[derive(Debug)]
@@ -91,15 +102,15 @@
     pub s: Settings,
     pub balancer: Balancer,
     pub now: f64,
-    pub list: BTreeMap<BackendId, Entry>,
+    pub list: BTreeMap<EndpointId, EndpointUpdate>,
     pub asked: BTreeMap<RequestId, Asked>,
     pub timers: Vec<(f64, u64)>,
     pub logs: Vec<String>,
     pub watches: Vec<f64>,
     /// Last release of the idle connections to a backend.
-    pub released: BTreeMap<BackendId, f64>,
+    pub released: BTreeMap<EndpointId, f64>,
     /// Backends that are out of service by a call.
-    pub out: BTreeSet<BackendId>,
+    pub out: BTreeSet<EndpointId>,
     pub trace: Vec<Action>,
     next: u64,
 }
@@ -127,8 +138,8 @@
 
     pub fn with_backends(s: Settings, seed: u64, count: u64) -> World {
         let mut w = World::new(s, seed);
-        let entries = (1..=count).map(up).collect();
-        w.list(ListKind::Full, entries);
+        let endpoints = (1..=count).map(up).collect();
+        w.list(WatchUpdate::Snapshot, endpoints);
         w
     }
 
@@ -144,30 +155,34 @@
     /// The rules, action by action.
     fn check(&mut self, action: &Action) {
         match action {
-            Action::Send { id, backend, timeout_ms, begin_within_ms } => {
+            Action::SendAttempt { id, endpoint, timeout_ms, begin_within_ms } => {
                 let asked = self.asked.get_mut(id).expect("a known request");
                 assert!(asked.answer.is_none(), "rule 1: sent after its end");
                 assert!(asked.attempts.len() < self.s.max_attempts as usize, "more attempts than allowed");
-                let entry = self.list.get(backend).expect("a backend that the list has named");
-                assert_eq!(entry.health, Health::Up, "rule 3: sent to one that drains or is gone");
-                assert!(!self.out.contains(backend), "rule 3: sent to one that is out of service");
+                let entry = self.list.get(endpoint).expect("a backend that the list has named");
+                assert_eq!(
+                    entry.state,
+                    EndpointState::Active,
+                    "rule 3: sent to one that drains or is gone"
+                );
+                assert!(!self.out.contains(endpoint), "rule 3: sent to one that is out of service");
                 let out = asked.attempts.iter().any(|a| a.outcome.is_none());
-                assert!(self.s.second_copies || !out, "rule 2: two attempts at once");
+                assert!(self.s.hedging_allowed || !out, "rule 2: two attempts at once");
                 let ran = asked.attempts.iter().find(|a| !proven(a.outcome));
                 if let Some(ran) = ran {
                     let c = self.s.classes.get(asked.request.class);
-                    let old = &self.list[&ran.backend];
-                    let held = match c.map_or(Effect::Unsafe, |c| c.effect) {
-                        Effect::Safe => true,
-                        Effect::Unsafe => false,
-                        Effect::Keyed(g) => {
+                    let old = &self.list[&ran.endpoint];
+                    let held = match c.map_or(Idempotency::NotIdempotent, |c| c.idempotency) {
+                        Idempotency::Idempotent => true,
+                        Idempotency::NotIdempotent => false,
+                        Idempotency::WithKey(g) => {
                             let same = match g {
-                                Group::All => true,
-                                Group::Zone => old.zone == entry.zone,
-                                Group::Cell => old.cell == entry.cell,
+                                DeduplicationScope::All => true,
+                                DeduplicationScope::Zone => old.zone == entry.zone,
+                                DeduplicationScope::Cell => old.cell == entry.cell,
                             };
                             // It may wait for a connection, and begins by then or not at all.
-                            let ttl = c.map_or(0.0, |c| c.key_ttl_ms);
+                            let ttl = c.map_or(0.0, |c| c.deduplication_window_ms);
                             same && self.now <= ran.at + ttl
                                 && self.now + begin_within_ms <= ran.at + ttl + 1e-6
                         }
@@ -177,16 +192,24 @@
                 let ends =
                     if *timeout_ms > 0.0 { self.now + timeout_ms } else { asked.request.deadline_ms };
                 let ends = ends.min(asked.request.deadline_ms);
-                asked.attempts.push(Sent { backend: *backend, at: self.now, ends, outcome: None });
+                asked.attempts.push(Sent { endpoint: *endpoint, at: self.now, ends, outcome: None });
             }
-            Action::Refuse { id, retry_after_ms, .. } => {
+            Action::Reject { id, retry_after_ms, .. } => {
                 assert!(*retry_after_ms <= self.s.max_retry_after_ms, "advice above the most");
                 assert!(self.s.retry_after || *retry_after_ms == 0.0, "advice where none is sent");
                 let asked = self.asked.get_mut(id).expect("a known request");
                 assert!(asked.answer.is_none(), "rule 1: two answers");
-                let effect = self.s.classes.get(asked.request.class).map_or(Effect::Unsafe, |c| c.effect);
+                let idempotency = self
+                    .s
+                    .classes
+                    .get(asked.request.class)
+                    .map_or(Idempotency::NotIdempotent, |c| c.idempotency);
                 let none = asked.attempts.iter().all(|a| proven(a.outcome));
-                let harmless = none || matches!(effect, Effect::Safe | Effect::Keyed(Group::All));
+                let harmless = none
+                    || matches!(
+                        idempotency,
+                        Idempotency::Idempotent | Idempotency::WithKey(DeduplicationScope::All)
+                    );
                 assert!(harmless, "rule 2: refused though it may have run");
                 asked.answer = Some("refused");
             }
@@ -195,41 +218,43 @@
                 assert!(asked.answer.is_none(), "rule 1: two answers");
                 asked.answer = Some("failed");
             }
-            Action::Cancel { id, attempt } => {
-                assert!(self.s.may_cancel, "cancelling is not allowed");
+            Action::CancelAttempt { id, attempt } => {
+                assert!(self.s.cancellation_allowed, "cancelling is not allowed");
                 assert!(self.asked[id].attempts.len() > *attempt as usize, "an attempt never made");
             }
             Action::Timer { token, at_ms } => self.timers.push((*at_ms, *token)),
-            Action::Release(b) => {
+            Action::CloseIdleConnections(b) => {
                 assert!(self.list.contains_key(b), "released one that no list has named");
                 self.released.insert(*b, self.now);
             }
-            Action::Tell { .. } => assert!(self.s.peer_messages, "messages are not allowed"),
-            Action::Log(text) => self.logs.push(text.clone()),
-            Action::Watch(_) => self.watches.push(self.now),
+            Action::SendPeerMessage { .. } => {
+                assert!(self.s.peer_messages_allowed, "messages are not allowed")
+            }
+            Action::Log(event) => self.logs.push(event.to_string()),
+            Action::SetWatch(_) => self.watches.push(self.now),
         }
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        if matches!(kind, ListKind::Full | ListKind::Saved) {
+    pub fn list(&mut self, kind: WatchUpdate, endpoints: Vec<EndpointUpdate>) {
+        if matches!(kind, WatchUpdate::Snapshot | WatchUpdate::CachedSnapshot) {
             for e in self.list.values_mut() {
-                e.health = Health::Gone;
+                e.state = EndpointState::Removed;
             }
         }
-        for e in &entries {
-            self.list.insert(e.backend, *e);
+        for e in &endpoints {
+            self.list.insert(e.endpoint, *e);
         }
-        self.feed(Event::List { kind, entries });
+        self.feed(Event::EndpointsChanged { update: kind, endpoints });
     }
 
     /// Takes a backend out of service, or puts it back.
-    pub fn call(&mut self, backend: BackendId, out: bool) {
+    pub fn call(&mut self, endpoint: EndpointId, out: bool) {
         if out {
-            self.out.insert(backend);
+            self.out.insert(endpoint);
         } else {
-            self.out.remove(&backend);
+            self.out.remove(&endpoint);
         }
-        self.feed(if out { Event::Disable(backend) } else { Event::Enable(backend) });
+        self.feed(if out { Event::Disable(endpoint) } else { Event::Enable(endpoint) });
     }
 
     pub fn ask(&mut self, class: usize, key: Option<u64>) -> RequestId {
@@ -249,9 +274,9 @@
             class,
             key,
             deadline_ms: self.now + given,
-            effort_ms: None,
-            retry,
-            waited_ms: 0.0,
+            estimated_cost_ms: None,
+            is_retry: retry,
+            queued_ms: 0.0,
         };
         self.asked.insert(id, Asked { request, attempts: Vec::new(), answer: None, whole_at: self.now });
         self.feed(Event::Request(request));
@@ -259,8 +284,8 @@
     }
 
     /// The backend of a request's attempt that is out.
-    pub fn at(&self, id: RequestId) -> Option<BackendId> {
-        self.asked[&id].attempts.iter().find(|a| a.outcome.is_none()).map(|a| a.backend)
+    pub fn at(&self, id: RequestId) -> Option<EndpointId> {
+        self.asked[&id].attempts.iter().find(|a| a.outcome.is_none()).map(|a| a.endpoint)
     }
 
     pub fn answer(&self, id: RequestId) -> Option<&'static str> {
@@ -268,22 +293,30 @@
     }
 
     /// Ends the attempt of a request that is out.
-    pub fn end(&mut self, id: RequestId, outcome: Outcome) {
-        self.end_with(id, outcome, Load::default());
+    pub fn end(&mut self, id: RequestId, outcome: AttemptOutcome) {
+        self.end_with(id, outcome, LoadReport::default());
     }
 
     /// The same, with a load report.
-    pub fn end_with(&mut self, id: RequestId, outcome: Outcome, load: Load) {
+    pub fn end_with(&mut self, id: RequestId, outcome: AttemptOutcome, load: LoadReport) {
         let now = self.now;
         let Some(asked) = self.asked.get_mut(&id) else { return };
         let Some(n) = asked.attempts.iter().position(|a| a.outcome.is_none()) else { return };
         asked.attempts[n].outcome = Some(outcome);
-        if outcome == Outcome::Done && asked.answer.is_none() {
+        if outcome == AttemptOutcome::Answered && asked.answer.is_none() {
             asked.answer = Some("done");
         }
         let last = asked.answer.is_some();
-        let (backend, elapsed_ms) = (asked.attempts[n].backend, now - asked.attempts[n].at);
-        self.feed(Event::Ended { id, attempt: n as u32, backend, outcome, last, elapsed_ms, load });
+        let (endpoint, elapsed_ms) = (asked.attempts[n].endpoint, now - asked.attempts[n].at);
+        self.feed(Event::AttemptEnded {
+            id,
+            attempt: n as u32,
+            endpoint,
+            outcome,
+            request_finished: last,
+            elapsed_ms,
+            load,
+        });
     }
 
     /// The answer to the attempt that is out begins: the request is served, its end is told later.
@@ -292,8 +325,8 @@
         let Some(asked) = self.asked.get_mut(&id).filter(|a| a.answer.is_none()) else { return };
         let Some(n) = asked.attempts.iter().position(|a| a.outcome.is_none()) else { return };
         asked.answer = Some("done");
-        let (backend, elapsed_ms) = (asked.attempts[n].backend, now - asked.attempts[n].at);
-        self.feed(Event::Started { id, attempt: n as u32, backend, elapsed_ms });
+        let (endpoint, elapsed_ms) = (asked.attempts[n].endpoint, now - asked.attempts[n].at);
+        self.feed(Event::ResponseStarted { id, attempt: n as u32, endpoint, elapsed_ms });
     }
 
     /// The last byte of a request's body has come: its times count from here.
@@ -306,14 +339,14 @@
         for a in &mut asked.attempts {
             (a.at, a.ends) = (a.at + late, a.ends + late);
         }
-        self.feed(Event::Whole(id));
+        self.feed(Event::RequestBodyComplete(id));
     }
 
     pub fn left(&mut self, id: RequestId) {
         if let Some(a) = self.asked.get_mut(&id) {
             a.answer.get_or_insert("left");
         }
-        self.feed(Event::Left(id));
+        self.feed(Event::ClientDisconnected(id));
     }
 
     /// Moves the clock, with every timer and time-out on the way.
@@ -333,7 +366,7 @@
             self.now = self.now.max(next);
             if ends <= due {
                 if let Some((_, id)) = over {
-                    self.end(id, Outcome::TimedOut);
+                    self.end(id, AttemptOutcome::TimedOut);
                 }
             } else if let Some(n) = self.timers.iter().position(|t| t.0 == due) {
                 let (_, token) = self.timers.swap_remove(n);
@@ -356,18 +389,18 @@
         for n in 0..requests {
             let id = self.ask(class, Some(n % 97));
             self.wait(each_ms);
-            self.end(id, Outcome::Done);
+            self.end(id, AttemptOutcome::Answered);
         }
     }
 }
 
-pub fn up(n: u64) -> Entry {
-    Entry {
-        backend: BackendId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+pub fn up(n: u64) -> EndpointUpdate {
+    EndpointUpdate {
+        endpoint: EndpointId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         zone: (n % 2) as u16,
         cell: (n % 3) as u32,
-        health: Health::Up,
-        units: 1.0,
-        ready_at_ms: 0.0,
+        state: EndpointState::Active,
+        weight: 1.0,
+        started_at_ms: 0.0,
     }
 }
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -534,12 +534,12 @@
         });
         change(&mut config);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
-        let name = format!("applemill-test-{}-{n}.json", std::process::id());
+        let name = format!("wheelpath-node-test-{}-{n}.json", std::process::id());
         let file = std::env::temp_dir().join(name);
         std::fs::write(&file, config.to_string()).unwrap();
         let mut start = Command::new("/bin/sh");
         start
-            .args(["-c", command, env!("CARGO_BIN_EXE_applemill")])
+            .args(["-c", command, env!("CARGO_BIN_EXE_wheelpath-node")])
             .env("LB_CONFIG", &file)
             .env("LB_DISCOVERY", discovery.to_string())
             .stderr(Stdio::piped());
--- a/tests/node_handover.rs
+++ b/tests/node_handover.rs
@@ -9,7 +9,7 @@
 
 /// An empty folder for what one process leaves to the next.
 fn folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("applemill-test-{}-{name}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("wheelpath-node-test-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     folder
@@ -64,7 +64,7 @@
 fn a_descriptor_that_is_no_listening_socket_ends_the_start_with_its_name() {
     let start = |number: &str, stdin: Stdio, command: &str| {
         let mut start = Command::new("/bin/sh");
-        start.args(["-c", command, env!("CARGO_BIN_EXE_applemill")]).stdin(stdin);
+        start.args(["-c", command, env!("CARGO_BIN_EXE_wheelpath-node")]).stdin(stdin);
         let output = start.env("LB_INHERITED_FD", number).output().unwrap();
         assert!(!output.status.success());
         String::from_utf8(output.stderr).unwrap()
@@ -84,7 +84,7 @@
     let connected = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let log = start("3", std::os::fd::OwnedFd::from(connected).into(), third);
     assert!(log.contains(not_listening), "a connection: {log}");
-    let path = std::env::temp_dir().join(format!("applemill-test-{}.sock", std::process::id()));
+    let path = std::env::temp_dir().join(format!("wheelpath-node-test-{}.sock", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let local = std::os::unix::net::UnixListener::bind(&path).unwrap();
     let log = start("3", std::os::fd::OwnedFd::from(local).into(), third);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,51 +1,51 @@
 //! Random event sequences; the world in `common` asserts the four rules at every action.
 mod common;
 
-use birchspoke::interface::*;
 use common::{World, settings, up};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use wheelpath::policy::*;
 
 #[derive(Debug, Clone)]
 enum Step {
     Ask(usize, Option<u64>, f64),
-    End(usize, Outcome),
+    End(usize, AttemptOutcome),
     Leave(usize),
     Wait(f64),
-    List(ListKind, Vec<(u64, Health, bool)>),
+    List(WatchUpdate, Vec<(u64, EndpointState, bool)>),
     Call(usize, bool),
     Begin(usize),
     Whole(usize),
     Stray(u64),
 }
 
-fn outcome() -> impl Strategy<Value = Outcome> {
+fn outcome() -> impl Strategy<Value = AttemptOutcome> {
     prop_oneof![
-        4 => Just(Outcome::Done),
-        1 => Just(Outcome::Error),
-        1 => Just(Outcome::Full),
-        1 => Just(Outcome::TimedOut),
-        1 => Just(Outcome::NotConnected),
-        1 => Just(Outcome::Reset),
-        1 => Just(Outcome::Cancelled),
-        1 => Just(Outcome::Skipped),
+        4 => Just(AttemptOutcome::Answered),
+        1 => Just(AttemptOutcome::ErrorResponse),
+        1 => Just(AttemptOutcome::Rejected),
+        1 => Just(AttemptOutcome::TimedOut),
+        1 => Just(AttemptOutcome::ConnectFailed),
+        1 => Just(AttemptOutcome::ConnectionReset),
+        1 => Just(AttemptOutcome::Cancelled),
+        1 => Just(AttemptOutcome::NotSent),
     ]
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let health = prop_oneof![3 => Just(Health::Up), 1 => Just(Health::Draining), 1 => Just(Health::Gone)];
+    let state = prop_oneof![3 => Just(EndpointState::Active), 1 => Just(EndpointState::Draining), 1 => Just(EndpointState::Removed)];
     let kind = prop_oneof![
-        4 => Just(ListKind::Changes),
-        1 => Just(ListKind::Full),
-        1 => Just(ListKind::Saved),
-        1 => Just(ListKind::Failed)
+        4 => Just(WatchUpdate::Delta),
+        1 => Just(WatchUpdate::Snapshot),
+        1 => Just(WatchUpdate::CachedSnapshot),
+        1 => Just(WatchUpdate::Failure)
     ];
     prop_oneof![
         8 => (0_usize..7, proptest::option::of(0_u64..20), 0.0..1200.0).prop_map(|(c, k, d)| Step::Ask(c, k, d)),
         8 => (any::<usize>(), outcome()).prop_map(|(n, o)| Step::End(n, o)),
         1 => any::<usize>().prop_map(Step::Leave),
         3 => (0.0..400.0).prop_map(Step::Wait),
-        1 => (kind, proptest::collection::vec((1_u64..12, health, any::<bool>()), 0..8))
+        1 => (kind, proptest::collection::vec((1_u64..12, state, any::<bool>()), 0..8))
             .prop_map(|(k, e)| Step::List(k, e)),
         1 => (any::<usize>(), any::<bool>()).prop_map(|(n, out)| Step::Call(n, out)),
         1 => any::<usize>().prop_map(Step::Begin),
@@ -79,24 +79,24 @@
                 }
             }
             Step::Wait(ms) => w.wait(*ms),
-            Step::List(ListKind::Failed, _) => {
-                w.feed(Event::List { kind: ListKind::Failed, entries: vec![] })
+            Step::List(WatchUpdate::Failure, _) => {
+                w.feed(Event::EndpointsChanged { update: WatchUpdate::Failure, endpoints: vec![] })
             }
-            Step::List(kind, entries) => {
+            Step::List(kind, endpoints) => {
                 let now = w.now;
-                let entries = (entries.iter())
-                    .map(|(n, health, fresh)| Entry {
-                        health: *health,
-                        ready_at_ms: if *fresh { now } else { 0.0 },
+                let endpoints = (endpoints.iter())
+                    .map(|(n, state, fresh)| EndpointUpdate {
+                        state: *state,
+                        started_at_ms: if *fresh { now } else { 0.0 },
                         ..up(*n)
                     })
                     .collect();
-                w.list(*kind, entries);
+                w.list(*kind, endpoints);
             }
             Step::Call(n, out) => {
                 let listed: Vec<_> = w.list.keys().copied().collect();
-                if let Some(backend) = listed.get(n % listed.len().max(1)) {
-                    w.call(*backend, *out);
+                if let Some(endpoint) = listed.get(n % listed.len().max(1)) {
+                    w.call(*endpoint, *out);
                 }
             }
             Step::Begin(n) => {
@@ -114,21 +114,21 @@
             Step::Stray(n) => {
                 // Events for what this node does not know are ignored.
                 w.feed(Event::Timer(n.wrapping_add(100)));
-                w.feed(Event::Left(RequestId(n | 1 << 40)));
-                w.feed(Event::Probed {
-                    backend: BackendId(*n),
-                    outcome: Outcome::Done,
+                w.feed(Event::ClientDisconnected(RequestId(n | 1 << 40)));
+                w.feed(Event::ProbeEnded {
+                    endpoint: EndpointId(*n),
+                    outcome: AttemptOutcome::Answered,
                     elapsed_ms: 1.0,
-                    load: Load::default(),
+                    load: LoadReport::default(),
                 });
-                w.feed(Event::Ended {
+                w.feed(Event::AttemptEnded {
                     id: RequestId(n | 1 << 40),
                     attempt: 0,
-                    backend: BackendId(*n),
-                    outcome: Outcome::Done,
-                    last: false,
+                    endpoint: EndpointId(*n),
+                    outcome: AttemptOutcome::Answered,
+                    request_finished: false,
                     elapsed_ms: f64::NAN,
-                    load: Load::default(),
+                    load: LoadReport::default(),
                 });
             }
         }
@@ -150,8 +150,8 @@
     let input = (any::<u64>(), any::<[bool; 3]>(), proptest::collection::vec(step(), 1..120));
     runner()
         .run(&input, |(seed, [copies, warm, asked], steps)| {
-            let discovery = if asked { Discovery::OnRequest } else { Discovery::Pushed };
-            let s = Settings { second_copies: copies, warm_keys: warm, discovery, ..settings() };
+            let discovery = if asked { DiscoveryMode::Poll } else { DiscoveryMode::Push };
+            let s = Settings { hedging_allowed: copies, warm_keys: warm, discovery, ..settings() };
             let first = play(s.clone(), seed, &steps);
             assert_eq!(first, play(s, seed, &steps));
             Ok(())
--- a/tests/unit/handover.rs
+++ b/tests/unit/handover.rs
@@ -1,16 +1,22 @@
 //! What one process leaves to the next, as it is written and read.
 use super::*;
 
-fn memory(backend: u64, cold_since_ms: Option<f64>, prat_ms: Option<f64>) -> Memory {
-    Memory { backend: BackendId(backend), cold_since_ms, prat_ms, cap: 2.25, served: 7.5 }
+fn memory(endpoint: u64, started_at_ms: Option<f64>, prat_ms: Option<f64>) -> EndpointSnapshot {
+    EndpointSnapshot {
+        endpoint: EndpointId(endpoint),
+        started_at_ms,
+        prat_ms,
+        concurrency_limit: 2.25,
+        served_per_second: 7.5,
+    }
 }
 
 #[test]
 fn a_state_is_read_as_it_was_written_and_half_of_one_is_none() {
     let process = ProcessId { pid: 7, started: 12 };
     let servers = vec![
-        ServerState::new(&memory(u64::MAX, Some(1.5), None), 100.0),
-        ServerState::new(&memory(2, None, Some(9.0)), 1.0),
+        StoredEndpoint::new(&memory(u64::MAX, Some(1.5), None), 100.0),
+        StoredEndpoint::new(&memory(2, None, Some(9.0)), 1.0),
     ];
     let state = ProcessState { process, list: Some(41), servers };
     let text = to_json(&state);
@@ -23,28 +29,28 @@
         half.as_object_mut().and_then(|o| o.remove(field));
         assert!(parse::<ProcessState>(Ok(Some(half.to_string()))).is_err(), "{field}");
     }
-    let calls = Calls { number: 3, disabled: [1, u64::MAX].into() };
+    let calls = OperatorOverrides { number: 3, disabled: [1, u64::MAX].into() };
     assert_eq!(parse(Ok(Some(to_json(&calls)))), Ok(Some(calls)));
 }
 
 #[test]
 fn what_a_process_has_learned_holds_for_spans_whatever_the_clock_of_the_next() {
-    let state = ServerState::new(&memory(1, Some(4_000.0), Some(5_600.0)), 5_000.0);
+    let state = StoredEndpoint::new(&memory(1, Some(4_000.0), Some(5_600.0)), 5_000.0);
     let next = state.memory(9e9);
-    assert_eq!(next.cold_since_ms, Some(9e9 - 1_000.0));
+    assert_eq!(next.started_at_ms, Some(9e9 - 1_000.0));
     assert_eq!(next.prat_ms, Some(9e9 + 600.0));
     // One whose time has come by then is due at once.
-    let due = ServerState::new(&memory(1, None, Some(4_000.0)), 5_000.0).memory(0.0);
-    assert_eq!((due.cold_since_ms, due.prat_ms), (None, Some(0.0)));
+    let due = StoredEndpoint::new(&memory(1, None, Some(4_000.0)), 5_000.0).memory(0.0);
+    assert_eq!((due.started_at_ms, due.prat_ms), (None, Some(0.0)));
 }
 
 #[test]
 fn a_state_of_version_1_is_taken_over_without_its_times() {
     let text = r#"{"version":1,"pid":5,"calls":2,"out":["00000000000000ff"],"list":3,
         "backends":[{"id":"0000000000000001","cold_since_ms":1.0,"prat_ms":null,"cap":2.0,"served":1.0}]}"#;
-    let (calls, state) = FirstVersion::read(text).unwrap_or_else(|| unreachable!("it is whole"));
-    assert_eq!(calls, Calls { number: 2, disabled: [255].into() });
+    let (calls, state) = StateVersion1::read(text).unwrap_or_else(|| unreachable!("it is whole"));
+    assert_eq!(calls, OperatorOverrides { number: 2, disabled: [255].into() });
     assert_eq!((state.list, state.servers.len()), (Some(3), 0));
-    assert!(FirstVersion::read(&text.replace("ff", "fg")).is_none());
-    assert!(FirstVersion::read(&text.replace("\"version\":1", "\"version\":3")).is_none());
+    assert!(StateVersion1::read(&text.replace("ff", "fg")).is_none());
+    assert!(StateVersion1::read(&text.replace("\"version\":1", "\"version\":3")).is_none());
 }
--- a/tests/unit/peers.rs
+++ b/tests/unit/peers.rs
@@ -5,14 +5,14 @@
 #[tokio::test]
 async fn messages_go_both_ways_and_strangers_are_not_heard() -> std::io::Result<()> {
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
-    let alone = |own| Nodes { all: Vec::new(), everyone: None, own };
-    let mut a = Peers::new(any, false, alone(0))?;
-    let mut b = Peers::new(any, false, alone(1))?;
+    let alone = |own| PeerAddresses { all: Vec::new(), everyone: None, own };
+    let mut a = PeerSocket::new(any, false, alone(0))?;
+    let mut b = PeerSocket::new(any, false, alone(1))?;
     let stranger = UdpSocket::bind(any).await?;
     let nodes = vec![a.socket.local_addr()?, b.socket.local_addr()?];
     (a.nodes.all, b.nodes.all) = (nodes.clone(), nodes.clone());
     stranger.send_to(b"not of the tier", nodes[1]).await?;
-    a.send(Some(1), &[7; LONGEST + 1]);
+    a.send(Some(1), &[7; MAX_LENGTH + 1]);
     a.send(Some(9), b"nobody");
     a.send(None, b"to all others");
     b.send(Some(0), b"back");
