--- a/fault-soak/src/http.rs
+++ b/fault-soak/src/http.rs
@@ -17,7 +17,7 @@
 
 /// What came before there was a whole message.
 #[derive(Debug)]
-pub enum Broken {
+pub enum ReadError {
     /// The end, with nothing before it.
     Closed,
     /// The end, or what cannot be read, in the middle of it.
@@ -39,12 +39,12 @@
     pub async fn read<R: AsyncRead + Unpin>(
         reader: &mut BufReader<R>,
         began: impl FnOnce(),
-    ) -> Result<Message, Broken> {
+    ) -> Result<Message, ReadError> {
         match reader.fill_buf().await {
             Ok(bytes) if !bytes.is_empty() => began(),
-            _ => return Err(Broken::Closed),
+            _ => return Err(ReadError::Closed),
         }
-        Message::read_rest(reader).await.map_err(|_| Broken::Midway)
+        Message::read_rest(reader).await.map_err(|_| ReadError::Midway)
     }
 
     async fn read_rest<R: AsyncRead + Unpin>(reader: &mut BufReader<R>) -> io::Result<Message> {
--- a/fault-soak/src/node.rs
+++ b/fault-soak/src/node.rs
@@ -2,9 +2,9 @@
 
 use crate::client::Clients;
 use crate::discovery::Discovery;
-use crate::faults::{Fault, Faults};
+use crate::faults::{SyscallFault, SyscallFaults};
 use crate::http::Message;
-use crate::record::{Gap, Record, Rule};
+use crate::record::{ProcessGap, Record, Rule};
 use crate::settings::{Addresses, Start, config};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -22,17 +22,17 @@
 use tokio::sync::Mutex as AsyncMutex;
 
 /// New connections come for so long after SIGTERM.
-const CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
+const FRONT_CLOSES_AFTER_TERM: Duration = Duration::from_millis(300);
 /// SIGKILL comes no sooner than this after SIGTERM: the longest deadline, held for 3 s at least, and 0.7 s.
-const TERM_TO_KILL: Duration = Duration::from_millis(3700);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3700);
 /// The front still sends to a node that died for so long.
-const FRONT_NOTICES: Duration = Duration::from_millis(1000);
+const FRONT_NOTICES_DEATH: Duration = Duration::from_millis(1000);
 /// A process must be ready within this.
-const READY_LIMIT: f64 = 30.0;
+const READY_TIMEOUT: f64 = 30.0;
 /// A new process beside an old one has so long to say yes.
-const UPGRADE_LIMIT: Duration = Duration::from_secs(6);
+const UPGRADE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Console calls are answered within this.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What all nodes have in common.
 pub struct Site {
@@ -58,7 +58,7 @@
 
 struct Process {
     child: Child,
-    console: SocketAddr,
+    admin: SocketAddr,
     log: PathBuf,
 }
 
@@ -68,9 +68,9 @@
     pub number: usize,
     addresses: Addresses,
     /// A listening socket and a folder that last from one process to the next.
-    kept: Option<(StdListener, PathBuf)>,
+    lasting: Option<(StdListener, PathBuf)>,
     /// System calls that fail in its processes.
-    pub faults: Arc<Faults>,
+    pub faults: Arc<SyscallFaults>,
     process: AsyncMutex<Option<Process>>,
     /// Starts and ends of processes come one after another.
     busy: AsyncMutex<()>,
@@ -85,10 +85,10 @@
         number: usize,
         addresses: Addresses,
         lasts: bool,
-        faults: Arc<Faults>,
+        faults: Arc<SyscallFaults>,
         site: Arc<Site>,
     ) -> Arc<Node> {
-        let kept = lasts.then(|| {
+        let lasting = lasts.then(|| {
             let folder = site.folder.join(format!("node-{number}"));
             std::fs::create_dir_all(&folder).unwrap();
             let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -100,7 +100,7 @@
         Arc::new(Node {
             number,
             addresses,
-            kept,
+            lasting,
             faults,
             process: AsyncMutex::default(),
             busy: AsyncMutex::default(),
@@ -112,13 +112,13 @@
 
     fn launch(&self) -> Process {
         let n = self.started.fetch_add(1, Ordering::SeqCst);
-        let console = free_address();
+        let admin = free_address();
         let name = format!("n{}", self.number);
-        let place = self.site.discovery.place_of(self.number);
+        let place = self.site.discovery.address_of(self.number);
         let start = Start {
             name: name.clone(),
             discovery: self.addresses.discovery[place],
-            console,
+            admin,
             seed: self.site.seed ^ u64::from(n) << 32 ^ self.number as u64,
             sockets: self.site.sockets,
         };
@@ -129,10 +129,10 @@
         let log = self.site.folder.join(format!("{name}-{n}.log"));
         self.logs.lock().unwrap().push(log.clone());
         let mut command = std::process::Command::new("/bin/sh");
-        let script = if self.kept.is_some() { "exec \"$0\" 3<&0 0</dev/null" } else { "exec \"$0\"" };
+        let script = if self.lasting.is_some() { "exec \"$0\" 3<&0 0</dev/null" } else { "exec \"$0\"" };
         command.args(["-c", script]).arg(&self.site.program).env("LB_CONFIG", &file).env("LB_TRACE", "all");
         command.stderr(File::create(&log).unwrap()).stdout(Stdio::null());
-        match &self.kept {
+        match &self.lasting {
             Some((socket, folder)) => {
                 let socket = std::os::fd::OwnedFd::from(socket.try_clone().unwrap());
                 command.stdin(socket).env("LB_INHERITED_FD", "3").env("TMPDIR", folder);
@@ -141,7 +141,7 @@
         }
         self.faults.preload(&mut command);
         let child = Command::from(command).kill_on_drop(true).spawn().unwrap();
-        Process { child, console, log }
+        Process { child, admin, log }
     }
 
     fn config_file(&self) -> PathBuf {
@@ -149,7 +149,7 @@
     }
 
     fn open_door(&self, open: bool) {
-        self.site.clients.doors[self.number].open.store(open, Ordering::SeqCst);
+        self.site.clients.entries[self.number].open.store(open, Ordering::SeqCst);
     }
 
     /// Starts a process and waits until the front takes it in.
@@ -164,15 +164,15 @@
         loop {
             let took = self.site.record.now() - began;
             if self.up().await == 200 {
-                self.site.record.ready.lock().unwrap().push(took);
+                self.site.record.ready_times.lock().unwrap().push(took);
                 self.end_gaps();
                 return self.open_door(true);
             }
-            if took > READY_LIMIT {
-                return self.broke(Rule::Ready, "not ready after 30 s");
+            if took > READY_TIMEOUT {
+                return self.record_violation(Rule::Ready, "not ready after 30 s");
             }
             if !self.runs().await {
-                return self.broke(Rule::Process, "ended by itself while it started");
+                return self.record_violation(Rule::Process, "ended by itself while it started");
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -182,12 +182,12 @@
         let now = self.site.record.now();
         let mut gaps = self.site.record.gaps.lock().unwrap();
         gaps.iter_mut()
-            .filter(|gap| gap.node == self.number)
-            .for_each(|gap| gap.until = gap.until.min(now));
+            .filter(|begin_gap| begin_gap.node == self.number)
+            .for_each(|begin_gap| begin_gap.until = begin_gap.until.min(now));
     }
 
-    fn broke(&self, rule: Rule, what: &str) {
-        self.site.record.broke(rule, format!("node {}: {what}", self.number));
+    fn record_violation(&self, rule: Rule, what: &str) {
+        self.site.record.record_violation(rule, format!("node {}: {what}", self.number));
     }
 
     async fn up(&self) -> u16 {
@@ -210,15 +210,15 @@
         // Held for as long as this looks: nobody else may end the process meanwhile.
         let Ok(_busy) = self.busy.try_lock() else { return };
         if self.process.lock().await.is_some() && !self.runs().await {
-            self.broke(Rule::Process, "ended by itself");
+            self.record_violation(Rule::Process, "ended by itself");
             self.start().await;
         }
     }
 
-    fn gap(&self, killed: bool) {
+    fn begin_gap(&self, killed: bool) {
         let from = self.site.record.now();
-        let gap = Gap { node: self.number, from, killed, until: f64::INFINITY };
-        self.site.record.gaps.lock().unwrap().push(gap);
+        let begin_gap = ProcessGap { node: self.number, from, killed, until: f64::INFINITY };
+        self.site.record.gaps.lock().unwrap().push(begin_gap);
     }
 
     /// SIGTERM, the end in time, and a new process.
@@ -231,29 +231,29 @@
     /// SIGTERM, and the end in time.
     async fn stop(&self) {
         let Some(process) = self.process.lock().await.take() else { return };
-        self.gap(false);
+        self.begin_gap(false);
         signal(&process.child, Signal::SIGTERM);
         let ending = self.ended(process);
         tokio::join!(ending, async {
-            tokio::time::sleep(CONNECTIONS_AFTER_TERM).await;
+            tokio::time::sleep(FRONT_CLOSES_AFTER_TERM).await;
             self.open_door(false);
         });
     }
 
     /// Waits for a process to end that was told to.
     async fn ended(&self, mut process: Process) {
-        match tokio::time::timeout(TERM_TO_KILL, process.child.wait()).await {
+        match tokio::time::timeout(SHUTDOWN_TIMEOUT, process.child.wait()).await {
             Ok(Ok(status)) if status.success() => {}
-            Ok(status) => self.broke(Rule::Process, &format!("ended with {status:?}")),
+            Ok(status) => self.record_violation(Rule::Process, &format!("ended with {status:?}")),
             Err(_) => {
-                self.broke(Rule::Process, "still runs when SIGKILL is due after SIGTERM");
+                self.record_violation(Rule::Process, "still runs when SIGKILL is due after SIGTERM");
                 let _ = process.child.kill().await;
             }
         }
         let log = std::fs::read_to_string(&process.log).unwrap_or_default();
         let counted = log.lines().find(|line| line.contains("violation:"));
         if let Some(line) = counted {
-            self.broke(Rule::Counted, line);
+            self.record_violation(Rule::Counted, line);
         }
     }
 
@@ -261,10 +261,10 @@
     pub async fn kill(&self, down: Duration) {
         let _busy = self.busy.lock().await;
         let Some(mut process) = self.process.lock().await.take() else { return };
-        self.gap(true);
+        self.begin_gap(true);
         let _ = process.child.kill().await;
         tokio::join!(tokio::time::sleep(down), async {
-            tokio::time::sleep(FRONT_NOTICES.min(down)).await;
+            tokio::time::sleep(FRONT_NOTICES_DEATH.min(down)).await;
             self.open_door(false);
         });
         self.start().await;
@@ -273,12 +273,12 @@
     /// A new process beside the old one, which ends once the new one is ready.
     pub async fn upgrade(&self) {
         let _busy = self.busy.lock().await;
-        if self.kept.is_none() {
+        if self.lasting.is_none() {
             return;
         }
         let new = self.launch();
-        let ready = tokio::time::timeout(UPGRADE_LIMIT, async {
-            while !call(new.console, "ready").await.is_some_and(|answer| answer.starts_with("done")) {
+        let ready = tokio::time::timeout(UPGRADE_TIMEOUT, async {
+            while !command(new.admin, "ready").await.is_some_and(|answer| answer.starts_with("done")) {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         });
@@ -289,7 +289,7 @@
             eprintln!("node {}: the new process is not ready after 6 s", self.number);
         }
         if let Some(old) = old {
-            self.gap(false);
+            self.begin_gap(false);
             signal(&old.child, Signal::SIGTERM);
             self.ended(old).await;
         }
@@ -300,7 +300,7 @@
         let _busy = self.busy.lock().await;
         let process = self.process.lock().await;
         let Some(process) = process.as_ref() else { return };
-        let which = 1 - self.site.discovery.place_of(self.number);
+        let which = 1 - self.site.discovery.address_of(self.number);
         let file = self.config_file();
         let text = std::fs::read_to_string(&file).unwrap();
         let mut config: Value = serde_json::from_str(&text).unwrap();
@@ -310,8 +310,8 @@
         signal(&process.child, Signal::SIGHUP);
     }
 
-    /// Stands still for a while.
-    pub async fn hold_up(&self, time: Duration) {
+    /// Stops its process for a while.
+    pub async fn suspend(&self, time: Duration) {
         let process = self.process.lock().await;
         let Some(process) = process.as_ref() else { return };
         signal(&process.child, Signal::SIGSTOP);
@@ -320,13 +320,13 @@
     }
 
     /// An answer of the console of the process that serves; none where it gives none in time.
-    pub async fn call(&self, line: &str) -> Option<String> {
-        let console = self.process.lock().await.as_ref()?.console;
-        call(console, line).await
+    pub async fn command(&self, line: &str) -> Option<String> {
+        let admin = self.process.lock().await.as_ref()?.admin;
+        command(admin, line).await
     }
 
     /// Has its processes meet a fault for a while.
-    pub async fn fail(&self, fault: Fault, one_in: i64, time: Duration) {
+    pub async fn fail(&self, fault: SyscallFault, one_in: i64, time: Duration) {
         self.faults.set(fault, one_in);
         tokio::time::sleep(time).await;
         self.faults.set(fault, 0);
@@ -344,7 +344,7 @@
     fn check_log(&self, log: &Path) {
         let text = std::fs::read_to_string(log).unwrap_or_default();
         if let Some(line) = text.lines().find(|line| line.contains("panicked")) {
-            self.broke(Rule::Process, &format!("{}: {line}", log.display()));
+            self.record_violation(Rule::Process, &format!("{}: {line}", log.display()));
         }
     }
 }
@@ -356,15 +356,15 @@
     }
 }
 
-async fn call(console: SocketAddr, line: &str) -> Option<String> {
+async fn command(admin: SocketAddr, line: &str) -> Option<String> {
     let ask = async {
-        let mut stream = TcpStream::connect(console).await.ok()?;
+        let mut stream = TcpStream::connect(admin).await.ok()?;
         stream.write_all(format!("{line}\n").as_bytes()).await.ok()?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.ok()?;
         Some(answer)
     };
-    tokio::time::timeout(CALL_LIMIT, ask).await.ok().flatten()
+    tokio::time::timeout(COMMAND_TIMEOUT, ask).await.ok().flatten()
 }
 
 /// An address on which nothing listens, of this program's own.
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -1,92 +1,121 @@
-//! What clients, servers and discovery saw: all that the oracle judges by.
+//! What clients, servers and discovery saw: all that the oracle judges by. Times are seconds since the
+//! start.
 
-use crate::settings::Class;
+use crate::settings::RequestClass;
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// A request of a client, as the client saw it. Times are seconds since the start.
+/// A shorter stall is within the slack of every rule, in seconds.
+const MIN_STALL: f64 = 0.01;
+
+/// The final answer of a request, as its client got it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ClientAnswer {
+    /// When its last byte came.
+    pub at: f64,
+    /// Its status.
+    pub status: u16,
+    /// Its body.
+    pub body: String,
+}
+
+/// How a node ended a connection with no complete answer.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ConnectionClose {
+    /// When.
+    pub at: f64,
+    /// Part of an answer had come.
+    pub within_answer: bool,
+}
+
+/// A request of a client, as the client saw it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ClientRequest {
     /// Its class.
-    pub class: Class,
+    pub class: RequestClass,
     /// The node that it was sent to.
     pub node: usize,
     /// When its last byte was written.
-    pub sent: f64,
+    pub sent_at: f64,
     /// How long the client waits from then on.
-    pub wait: f64,
+    pub timeout: f64,
     /// It is the first request on its connection.
     pub new_connection: bool,
     /// When the client closed its connection without an answer.
-    pub left: Option<f64>,
-    /// When the last byte of its answer came, the status, and the body.
-    pub answer: Option<(f64, u16, String)>,
-    /// When the node ended the connection with no whole answer, and whether any of one had come.
-    pub closed: Option<(f64, bool)>,
+    pub left_at: Option<f64>,
+    /// Its answer.
+    pub answer: Option<ClientAnswer>,
+    /// How the node ended the connection, if there was no answer.
+    pub closed: Option<ConnectionClose>,
+}
+
+impl ClientRequest {
+    /// When its client gives up.
+    pub fn deadline(&self) -> f64 {
+        self.sent_at + self.timeout
+    }
 }
 
-/// A request as a server saw it.
+/// An attempt at a request, as a server saw it.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// Its id.
+pub struct ServerAttempt {
+    /// Id of the request.
     pub id: u64,
     /// The server.
     pub server: usize,
     /// When its first byte came.
-    pub first: f64,
+    pub first_byte_at: f64,
     /// When its last byte came: from then on it may run.
-    pub whole: f64,
-    /// How long the node said that it waits, in seconds.
-    pub expires: Option<f64>,
+    pub complete_at: f64,
+    /// How long the node said that it waits.
+    pub timeout: Option<f64>,
     /// The server said that it never ran.
-    pub turned_away: bool,
-    /// When its answer was written, if that was an error or an answer that is no answer.
-    pub answered: Option<f64>,
+    pub rejected: bool,
 }
 
-/// Something about a server that nodes are to go by.
+/// A change to a server that nodes have to go by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Change {
+pub enum ServerChange {
     /// It is to get nothing more.
-    Leaves,
+    Withdrawn,
     /// It may be sent to.
-    Serves,
+    InService,
     /// It has started, and is cold.
-    Started,
+    Restarted,
 }
 
-/// When a change was made, and when each node was told of it.
+/// When a change was made, and when each node was notified of it.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ChangeRecord {
     /// The server.
     pub server: usize,
     /// What changed.
-    pub change: Change,
+    pub change: ServerChange,
     /// When.
     pub at: f64,
     /// Discovery's count of changes.
     pub version: u64,
-    /// When each node's process at that time was told, infinite if it was not.
-    pub nodes: Vec<f64>,
+    /// When each node's process at that time was notified, infinite if it was not.
+    pub notified_at: Vec<f64>,
 }
 
-/// A ban by the operators at one node, in the order of the calls.
+/// A time in which the operators had a server out of service at one node.
 #[derive(Clone, Debug)]
-pub struct Ban {
+pub struct DisabledPeriod {
     /// The node.
     pub node: usize,
     /// The server.
     pub server: usize,
-    /// When it counts from: the `done`.
+    /// When it counts from: the `done` of the command.
     pub from: f64,
-    /// When the call that put the server back was made.
+    /// When the command that put the server back was given.
     pub until: f64,
 }
 
 /// A time in which a node's process was killed or ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Gap {
+pub struct ProcessGap {
     /// The node.
     pub node: usize,
     /// When it was killed, or told to end.
@@ -97,73 +126,87 @@
     pub until: f64,
 }
 
-/// What is less is in the slack of every rule.
-const LEAST_STALL: f64 = 0.01;
+/// A violation that was seen as it happened.
+#[derive(Clone, Debug)]
+pub struct ObservedViolation {
+    /// When.
+    pub at: f64,
+    /// Of which rule.
+    pub rule: Rule,
+    /// What happened.
+    pub description: String,
+}
+
+/// When this program itself was late, and by how much.
+#[derive(Clone, Copy, Debug)]
+struct Stall {
+    at: f64,
+    late_by: f64,
+}
 
-/// All of it.
+/// All that was seen.
 pub struct Record {
     start: Instant,
-    /// Requests by id.
-    pub asked: Mutex<HashMap<u64, Asked>>,
-    /// What servers were sent.
-    pub seen: Mutex<Vec<Seen>>,
-    /// What changed.
-    pub told: Mutex<Vec<Told>>,
-    /// Bans.
-    pub bans: Mutex<Vec<Ban>>,
+    /// Requests of clients, by id.
+    pub requests: Mutex<HashMap<u64, ClientRequest>>,
+    /// Attempts that reached servers.
+    pub attempts: Mutex<Vec<ServerAttempt>>,
+    /// Changes to servers.
+    pub changes: Mutex<Vec<ChangeRecord>>,
+    /// Servers that the operators had out of service.
+    pub disabled: Mutex<Vec<DisabledPeriod>>,
     /// Ends of processes.
-    pub gaps: Mutex<Vec<Gap>>,
-    /// Breaks that were seen as they happened.
-    pub breaks: Mutex<Vec<(f64, Rule, String)>>,
-    /// How long a process that was started anew took to be ready, in seconds.
-    pub ready: Mutex<Vec<f64>>,
-    /// When this program itself was late, and by how much, in seconds.
-    stalls: Mutex<Vec<(f64, f64)>>,
+    pub gaps: Mutex<Vec<ProcessGap>>,
+    /// Violations that were seen as they happened.
+    pub violations: Mutex<Vec<ObservedViolation>>,
+    /// How long each process that was started anew took to be ready.
+    pub ready_times: Mutex<Vec<f64>>,
+    stalls: Mutex<Vec<Stall>>,
 }
 
-/// The rules.
+/// The rules that the oracle holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
     /// Each request gets one final answer in time.
     Lost,
     /// None runs more often than its class allows.
     Duplicate,
-    /// Nothing new to a server that leaves.
+    /// Nothing new goes to a server that was withdrawn.
     Drain,
-    /// No cold server overfed.
+    /// No cold server is overfed.
     Cold,
-    /// No attempt for a client that has gone.
+    /// No attempt begins for a client that has gone.
     Gone,
     /// No server is told more time than the client has.
     Deadline,
-    /// Answers are those of a server to this request; refusals do no harm.
+    /// Answers are those of a server to this request; rejections do no harm.
     Truth,
-    /// No more attempts than allowed.
+    /// There are no more attempts than allowed.
     Attempts,
     /// No process ends by itself, and each ends in time when told to.
     Process,
-    /// A `done` is kept.
+    /// The `done` of a command is kept.
     Done,
-    /// Whoever is no proper client gets an error or a close in time.
+    /// A malformed client gets an error or a close in time.
     Rude,
     /// Nine in ten processes are ready in time.
     Ready,
-    /// A process has counted a violation itself.
+    /// No process has counted a violation itself.
     Counted,
 }
 
 impl Record {
-    /// Nothing yet.
+    /// A record in which nothing was seen.
     pub fn new(start: Instant) -> Record {
         Record {
             start,
-            asked: Mutex::default(),
-            seen: Mutex::default(),
-            told: Mutex::default(),
-            bans: Mutex::default(),
+            requests: Mutex::default(),
+            attempts: Mutex::default(),
+            changes: Mutex::default(),
+            disabled: Mutex::default(),
             gaps: Mutex::default(),
-            breaks: Mutex::default(),
-            ready: Mutex::default(),
+            violations: Mutex::default(),
+            ready_times: Mutex::default(),
             stalls: Mutex::default(),
         }
     }
@@ -173,22 +216,23 @@
         self.start.elapsed().as_secs_f64()
     }
 
-    /// Notes that this program had its turn so late, just now.
-    pub fn stalled(&self, late: f64) {
-        if late > LEAST_STALL {
-            self.stalls.lock().unwrap().push((self.now(), late));
+    /// Notes that this program was late by so much, just now.
+    pub fn record_stall(&self, late_by: f64) {
+        if late_by > MIN_STALL {
+            self.stalls.lock().unwrap().push(Stall { at: self.now(), late_by });
         }
     }
 
     /// How late this program was at the most between two times.
-    pub fn stall(&self, from: f64, until: f64) -> f64 {
+    pub fn longest_stall(&self, from: f64, until: f64) -> f64 {
         let stalls = self.stalls.lock().unwrap();
-        let inside = stalls.iter().filter(|(at, late)| *at >= from && at - late <= until);
-        inside.map(|(_, late)| *late).fold(0.0, f64::max)
+        let inside = stalls.iter().filter(|stall| stall.at >= from && stall.at - stall.late_by <= until);
+        inside.map(|stall| stall.late_by).fold(0.0, f64::max)
     }
 
-    /// Notes a break that was seen.
-    pub fn broke(&self, rule: Rule, what: String) {
-        self.breaks.lock().unwrap().push((self.now(), rule, what));
+    /// Notes a violation that was seen.
+    pub fn record_violation(&self, rule: Rule, description: String) {
+        let violation = ObservedViolation { at: self.now(), rule, description };
+        self.violations.lock().unwrap().push(violation);
     }
 }
--- a/fault-soak/src/schedule.rs
+++ b/fault-soak/src/schedule.rs
@@ -2,12 +2,14 @@
 
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
+use std::fmt::{self, Display, Formatter};
+use std::ops::Range;
 
-/// One kind of trouble. Spans are milliseconds; nodes and servers are named by their number.
+/// One kind of fault. Spans are milliseconds; nodes and servers are named by their number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
-#[allow(missing_docs)]
-pub enum Trouble {
+#[allow(missing_docs, reason = "the fields are named by their unit or by what they number")]
+pub enum Fault {
     /// SIGTERM, and a new process once it has ended.
     Terminate { node: usize },
     /// SIGKILL, and a new process.
@@ -76,104 +78,126 @@
     DiskFails { node: usize, for_ms: u64 },
 }
 
-/// One trouble at its time.
+/// One fault at its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Event {
+pub struct ScheduledFault {
     /// Since the start of the load, in milliseconds.
     pub at_ms: u64,
-    /// What happens.
+    /// The fault.
     #[serde(flatten)]
-    pub trouble: Trouble,
+    pub fault: Fault,
 }
 
-/// Sizes that troubles are drawn for.
+/// Sizes that faults are drawn for.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
-    /// Nodes; those from `kept_from` on have a listening socket and a folder that last.
+pub struct FleetSize {
+    /// Nodes; those from `first_lasting` on have a listening socket and a folder that last.
     pub nodes: usize,
     /// See `nodes`.
-    pub kept_from: usize,
+    pub first_lasting: usize,
     /// Servers.
     pub servers: usize,
     /// For how long clients ask, in milliseconds.
     pub length_ms: u64,
 }
 
-/// Nothing happens before this, so that nodes know their servers, and nothing begins this long before the end.
+/// Nothing happens before this, so that nodes know their servers, and nothing begins this long before the
+/// end.
 const QUIET_MS: u64 = 2000;
-/// Troubles come in groups that overlap: so far apart at most, and so long from one group to the next.
-const GROUP_MS: u64 = 600;
-const BETWEEN_MS: std::ops::Range<u64> = 900..2600;
+/// Faults come in groups that overlap: so far apart at most, and so long from one group to the next.
+const GROUP_SPREAD_MS: u64 = 600;
+const GROUP_INTERVAL_MS: Range<u64> = 900..2600;
 
-/// The troubles of a seed.
-pub fn draw(seed: u64, size: Size) -> Vec<Event> {
+/// The faults of a seed.
+pub fn draw(seed: u64, size: FleetSize) -> Vec<ScheduledFault> {
     let mut rng = Rng::with_seed(seed);
-    let mut events = Vec::new();
+    let mut faults = Vec::new();
     let mut at = QUIET_MS;
     while at + QUIET_MS < size.length_ms {
         for _ in 0..rng.usize(2..=3) {
-            events.push(Event { at_ms: at + rng.u64(0..GROUP_MS), trouble: trouble(&mut rng, size) });
+            faults.push(ScheduledFault {
+                at_ms: at + rng.u64(0..GROUP_SPREAD_MS),
+                fault: fault(&mut rng, size),
+            });
         }
-        at += rng.u64(BETWEEN_MS);
+        at += rng.u64(GROUP_INTERVAL_MS);
     }
-    events.sort_by_key(|event| event.at_ms);
-    events
+    faults.sort_by_key(|fault| fault.at_ms);
+    faults
 }
 
-fn trouble(rng: &mut Rng, size: Size) -> Trouble {
+fn fault(rng: &mut Rng, size: FleetSize) -> Fault {
     let node = rng.usize(..size.nodes);
-    let kept = rng.usize(size.kept_from..size.nodes);
+    let lasting = rng.usize(size.first_lasting..size.nodes);
     let server = rng.usize(..size.servers);
     let for_ms = rng.u64(300..3000);
     match rng.u32(..45) {
-        0 | 1 => Trouble::Terminate { node },
-        2 | 3 => Trouble::Kill { node, down_ms: rng.u64(50..1500) },
-        4 => Trouble::Reload { node },
-        5 | 6 => Trouble::Upgrade { node: kept },
-        7 => Trouble::HoldUp { node, for_ms: rng.u64(30..150) },
-        8 => Trouble::DrainNode { node, for_ms: 1000 + for_ms },
-        9 | 10 => Trouble::Ban { node: kept, server, for_ms: 1000 + for_ms },
-        11 | 12 => Trouble::Drain { server, for_ms: 2000 + for_ms },
-        13 | 14 => Trouble::Replace { server, for_ms: 1500 + for_ms },
-        15 | 16 => Trouble::Crash { server, for_ms },
-        17 => Trouble::Hang { server, for_ms },
-        18 => Trouble::Errors { server, for_ms },
-        19 => Trouble::Full { server, for_ms },
-        20 => Trouble::Slow { server, for_ms },
-        21 => Trouble::Spoil { server, for_ms },
-        22 => Trouble::ResetAll { server },
-        23 => Trouble::Silence { server, for_ms },
-        24 => Trouble::DiscoveryDown { for_ms },
-        25 => Trouble::DiscoverySlow { for_ms },
-        26 => Trouble::DiscoverySilent { for_ms },
-        27 => Trouble::CountAnew,
-        28 => Trouble::Burst { for_ms },
-        29 => Trouble::Leave { for_ms },
-        30 => Trouble::HalfRequests { node, count: rng.usize(5..30) },
-        31 => Trouble::IdleClients { node, count: rng.usize(50..300) },
-        32 => Trouble::StepClock {
+        0 | 1 => Fault::Terminate { node },
+        2 | 3 => Fault::Kill { node, down_ms: rng.u64(50..1500) },
+        4 => Fault::Reload { node },
+        5 | 6 => Fault::Upgrade { node: lasting },
+        7 => Fault::HoldUp { node, for_ms: rng.u64(30..150) },
+        8 => Fault::DrainNode { node, for_ms: 1000 + for_ms },
+        9 | 10 => Fault::Ban { node: lasting, server, for_ms: 1000 + for_ms },
+        11 | 12 => Fault::Drain { server, for_ms: 2000 + for_ms },
+        13 | 14 => Fault::Replace { server, for_ms: 1500 + for_ms },
+        15 | 16 => Fault::Crash { server, for_ms },
+        17 => Fault::Hang { server, for_ms },
+        18 => Fault::Errors { server, for_ms },
+        19 => Fault::Full { server, for_ms },
+        20 => Fault::Slow { server, for_ms },
+        21 => Fault::Spoil { server, for_ms },
+        22 => Fault::ResetAll { server },
+        23 => Fault::Silence { server, for_ms },
+        24 => Fault::DiscoveryDown { for_ms },
+        25 => Fault::DiscoverySlow { for_ms },
+        26 => Fault::DiscoverySilent { for_ms },
+        27 => Fault::CountAnew,
+        28 => Fault::Burst { for_ms },
+        29 => Fault::Leave { for_ms },
+        30 => Fault::HalfRequests { node, count: rng.usize(5..30) },
+        31 => Fault::IdleClients { node, count: rng.usize(50..300) },
+        32 => Fault::StepClock {
             by_ms: if rng.bool() { 3_600_000 } else { -3_600_000 } + rng.i64(-9000..9000),
         },
-        33 => Trouble::Herd { percent: rng.usize(20..80), down_ms: rng.u64(50..1000) },
-        34 => Trouble::Release { for_ms: 2000 + for_ms },
-        35 => Trouble::Pipeline { node, count: rng.usize(2..12) },
+        33 => Fault::Herd { percent: rng.usize(20..80), down_ms: rng.u64(50..1000) },
+        34 => Fault::Release { for_ms: 2000 + for_ms },
+        35 => Fault::Pipeline { node, count: rng.usize(2..12) },
         _ => match rng.u32(..4) {
-            0 => Trouble::Interrupt { node, one_in: rng.i64(5..20), for_ms },
-            1 => Trouble::LocalFailures { node, one_in: rng.i64(4..20), for_ms },
-            2 => Trouble::SlowWrites { node, one_in: rng.i64(20..200), for_ms },
-            _ => Trouble::DiskFails { node: kept, for_ms },
+            0 => Fault::Interrupt { node, one_in: rng.i64(5..20), for_ms },
+            1 => Fault::LocalFailures { node, one_in: rng.i64(4..20), for_ms },
+            2 => Fault::SlowWrites { node, one_in: rng.i64(20..200), for_ms },
+            _ => Fault::DiskFails { node: lasting, for_ms },
         },
     }
 }
 
-/// One line for each.
-pub fn print(events: &[Event]) -> String {
-    let line = |event: &Event| serde_json::to_string(event).unwrap_or_default() + "\n";
-    events.iter().map(line).collect()
+/// One line of JSON for each.
+pub fn print(faults: &[ScheduledFault]) -> String {
+    let line = |fault: &ScheduledFault| serde_json::to_string(fault).unwrap_or_default() + "\n";
+    faults.iter().map(line).collect()
+}
+
+/// A line of a schedule that cannot be read.
+#[derive(Debug)]
+pub struct ParseError {
+    line: usize,
+    cause: serde_json::Error,
+}
+
+impl Display for ParseError {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        write!(f, "line {}: {}", self.line, self.cause)
+    }
 }
 
 /// Reads what `print` wrote.
-pub fn parse(text: &str) -> Result<Vec<Event>, String> {
-    let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
-    lines.map(|(n, line)| serde_json::from_str(line).map_err(|e| format!("line {}: {e}", n + 1))).collect()
+///
+/// # Errors
+/// A line is no scheduled fault.
+pub fn parse(text: &str) -> Result<Vec<ScheduledFault>, ParseError> {
+    let lines = (1..).zip(text.lines()).filter(|(_, line)| !line.trim().is_empty());
+    lines
+        .map(|(line, text)| serde_json::from_str(text).map_err(|cause| ParseError { line, cause }))
+        .collect()
 }
--- a/fault-soak/src/server.rs
+++ b/fault-soak/src/server.rs
@@ -2,8 +2,8 @@
 
 use crate::http::{Message, answer};
 use crate::proxy::{Mode, Proxy};
-use crate::record::{Record, Seen};
-use crate::settings::SERVER_IDLE;
+use crate::record::{Record, ServerAttempt};
+use crate::settings::SERVER_IDLE_TIMEOUT;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -16,25 +16,25 @@
 pub const CORES: usize = 3;
 /// See `CORES`.
 pub const WORK: Duration = Duration::from_millis(40);
-/// Requests that may wait before one is turned away.
-const QUEUE: usize = 40;
+/// Requests that may wait before one is rejected.
+const MAX_QUEUE: usize = 40;
 
 /// What a server does with requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manner {
+pub enum ServerMode {
     /// Serves them.
     #[default]
-    Well,
+    Healthy,
     /// Says nothing.
-    Hangs,
+    Hanging,
     /// Answers two of three with an error.
-    Errors,
-    /// Turns all away.
-    Full,
+    Failing,
+    /// Rejects all of them.
+    Rejecting,
     /// Takes five times as long.
     Slow,
     /// Garbles or cuts half of the answers.
-    Spoils,
+    Corrupting,
 }
 
 /// One server.
@@ -45,7 +45,7 @@
     pub address: SocketAddr,
     /// What stands between it and the nodes.
     pub proxy: Arc<Proxy>,
-    manner: Mutex<Manner>,
+    mode: Mutex<ServerMode>,
     cores: Semaphore,
     waiting: AtomicU32,
     up: AtomicBool,
@@ -62,7 +62,7 @@
             number,
             address: proxy.address,
             proxy,
-            manner: Mutex::default(),
+            mode: Mutex::default(),
             cores: Semaphore::new(CORES),
             waiting: AtomicU32::new(0),
             up: AtomicBool::new(true),
@@ -80,8 +80,8 @@
     }
 
     /// From now on it does so.
-    pub fn set(&self, manner: Manner) {
-        *self.manner.lock().unwrap() = manner;
+    pub fn set(&self, mode: ServerMode) {
+        *self.mode.lock().unwrap() = mode;
     }
 
     /// Dies: all connections break, and new ones are refused.
@@ -92,7 +92,7 @@
 
     /// Is there again, cold.
     pub async fn revive(&self) {
-        self.set(Manner::Well);
+        self.set(ServerMode::Healthy);
         self.up.store(true, Ordering::SeqCst);
         self.proxy.set(Mode::Passes).await;
     }
@@ -101,65 +101,62 @@
         let (reader, mut writer) = stream.split();
         let mut reader = BufReader::new(reader);
         loop {
-            let mut first = 0.0;
-            let read = Message::read(&mut reader, || first = self.record.now());
-            let Ok(Ok(message)) = tokio::time::timeout(SERVER_IDLE, read).await else { return };
+            let mut first_byte_at = 0.0;
+            let read = Message::read(&mut reader, || first_byte_at = self.record.now());
+            let Ok(Ok(message)) = tokio::time::timeout(SERVER_IDLE_TIMEOUT, read).await else { return };
             if !self.up.load(Ordering::SeqCst) {
                 return;
             }
             let Some(id) = message.header("x-trace-id").and_then(|id| u64::from_str_radix(id, 16).ok())
             else {
-                self.record.broke(crate::record::Rule::Duplicate, format!("a server got {message:?}"));
+                self.record
+                    .record_violation(crate::record::Rule::Duplicate, format!("a server got {message:?}"));
                 return;
             };
-            let manner = *self.manner.lock().unwrap();
-            let turned_away =
-                manner == Manner::Full || self.waiting.load(Ordering::SeqCst) as usize >= QUEUE;
-            let index = self.note(id, first, &message, turned_away);
-            let Some(bytes) = self.answer(id, manner, turned_away).await else {
+            let mode = *self.mode.lock().unwrap();
+            let rejected =
+                mode == ServerMode::Rejecting || self.waiting.load(Ordering::SeqCst) as usize >= MAX_QUEUE;
+            self.record_attempt(id, first_byte_at, &message, rejected);
+            let Some(bytes) = self.answer(id, mode, rejected).await else {
                 // Says nothing until the other side gives up.
                 let _ = Message::read(&mut reader, || {}).await;
                 return;
             };
-            let whole = bytes.whole;
+            let complete = bytes.complete;
             let _ = writer.write_all(&bytes.bytes).await;
-            self.record.seen.lock().unwrap()[index].answered = Some(self.record.now());
-            if !whole {
+            if !complete {
                 return;
             }
         }
     }
 
-    fn note(&self, id: u64, first: f64, message: &Message, turned_away: bool) -> usize {
-        let expires = message.header("x-expires-in-ms").and_then(|ms| ms.parse::<f64>().ok());
-        let mut seen = self.record.seen.lock().unwrap();
-        seen.push(Seen {
+    fn record_attempt(&self, id: u64, first_byte_at: f64, message: &Message, rejected: bool) {
+        let timeout_ms = message.header("x-expires-in-ms").and_then(|ms| ms.parse::<f64>().ok());
+        self.record.attempts.lock().unwrap().push(ServerAttempt {
             id,
             server: self.number,
-            first,
-            whole: self.record.now(),
-            expires: expires.map(|ms| ms / 1000.0),
-            turned_away,
-            answered: None,
+            first_byte_at,
+            complete_at: self.record.now(),
+            timeout: timeout_ms.map(|ms| ms / 1000.0),
+            rejected,
         });
-        seen.len() - 1
     }
 
     /// None where it says nothing.
-    async fn answer(&self, id: u64, manner: Manner, turned_away: bool) -> Option<Reply> {
-        if turned_away {
-            return Some(Reply::whole(answer("503 Service Unavailable", "X-Never-Ran: 1\r\n", b"full")));
+    async fn answer(&self, id: u64, mode: ServerMode, rejected: bool) -> Option<Reply> {
+        if rejected {
+            return Some(Reply::complete(answer("503 Service Unavailable", "X-Never-Ran: 1\r\n", b"full")));
         }
-        if manner == Manner::Hangs {
+        if mode == ServerMode::Hanging {
             return None;
         }
         let nonce = self.nonce.fetch_add(1, Ordering::SeqCst);
-        if manner == Manner::Errors && !nonce.is_multiple_of(3) {
-            return Some(Reply::whole(answer("500 Internal Server Error", "", b"error")));
+        if mode == ServerMode::Failing && !nonce.is_multiple_of(3) {
+            return Some(Reply::complete(answer("500 Internal Server Error", "", b"error")));
         }
         self.waiting.fetch_add(1, Ordering::SeqCst);
         let core = self.cores.acquire().await;
-        let times = if manner == Manner::Slow { 5.0 } else { 1.0 };
+        let times = if mode == ServerMode::Slow { 5.0 } else { 1.0 };
         tokio::time::sleep(WORK.mul_f64(times * (0.5 + fastrand::f64()))).await;
         drop(core);
         let load = self.waiting.fetch_sub(1, Ordering::SeqCst);
@@ -167,15 +164,15 @@
         let headers = format!("Endpoint-Load-Metrics: TEXT inflight={load}\r\n");
         let framing = Framing::ALL[(nonce % Framing::ALL.len() as u64) as usize];
         let mut bytes = framing.answer(&headers, body.as_bytes());
-        if manner == Manner::Spoils && nonce.is_multiple_of(2) {
+        if mode == ServerMode::Corrupting && nonce.is_multiple_of(2) {
             match nonce % 3 {
                 0 => bytes.truncate(bytes.len() - 5),
                 1 => bytes.truncate(20),
                 _ => bytes[0] = b'?',
             }
-            return Some(Reply { bytes, whole: false });
+            return Some(Reply { bytes, complete: false });
         }
-        Some(Reply { bytes, whole: framing != Framing::Close })
+        Some(Reply { bytes, complete: framing != Framing::Close })
     }
 }
 
@@ -222,12 +219,12 @@
 /// What is written, and whether that is an answer.
 struct Reply {
     bytes: Vec<u8>,
-    whole: bool,
+    complete: bool,
 }
 
 impl Reply {
-    fn whole(bytes: Vec<u8>) -> Reply {
-        Reply { bytes, whole: true }
+    fn complete(bytes: Vec<u8>) -> Reply {
+        Reply { bytes, complete: true }
     }
 }
 
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -6,51 +6,51 @@
 
 /// What a request of a class may do, and how long its client waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Class {
+pub enum RequestClass {
     /// Safe to repeat.
     View,
-    /// Carries a key; repeats within `KEY_TTL` are dropped by every server.
+    /// Carries a key; repeats within `DEDUPLICATION_WINDOW` are dropped by every server.
     Bid,
     /// Must never run twice.
     Order,
 }
 
 /// For how long servers drop a repeat.
-pub const KEY_TTL: Duration = Duration::from_millis(2000);
+pub const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(2000);
 /// Sends to a server that leaves end within this.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(750);
 /// A restarted server is warm after this, and starts at this part of its capacity.
-pub const COLD_TIME: Duration = Duration::from_secs(6);
-/// See `COLD_TIME`.
-pub const START_CAPACITY: f64 = 0.25;
+pub const SLOW_START_TIME: Duration = Duration::from_secs(6);
+/// See `SLOW_START_TIME`.
+pub const INITIAL_CAPACITY: f64 = 0.25;
 /// A cold server falls over when it is sent more than this multiple of its capacity over this time.
-pub const FALL_MULTIPLE: f64 = 3.0;
-/// See `FALL_MULTIPLE`.
-pub const FALL_TIME: Duration = Duration::from_secs(1);
+pub const OVERLOAD_MULTIPLE: f64 = 3.0;
+/// See `OVERLOAD_MULTIPLE`.
+pub const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 /// Attempts that one request may have.
-pub const MOST_ATTEMPTS: usize = 4;
+pub const MAX_ATTEMPTS: usize = 4;
 /// Idle connections to servers are closed by them after this.
-pub const SERVER_IDLE: Duration = Duration::from_secs(3);
+pub const SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-impl Class {
+impl RequestClass {
     /// All of them.
-    pub const ALL: [Class; 3] = [Class::View, Class::Bid, Class::Order];
+    pub const ALL: [RequestClass; 3] = [RequestClass::View, RequestClass::Bid, RequestClass::Order];
 
     /// As the settings name it.
     pub fn name(self) -> &'static str {
         match self {
-            Class::View => "view",
-            Class::Bid => "bid",
-            Class::Order => "order",
+            RequestClass::View => "view",
+            RequestClass::Bid => "bid",
+            RequestClass::Order => "order",
         }
     }
 
     /// How long a client waits at most.
     pub fn limit(self) -> Duration {
         match self {
-            Class::View => Duration::from_millis(1000),
-            Class::Bid => Duration::from_millis(2000),
-            Class::Order => Duration::from_millis(1500),
+            RequestClass::View => Duration::from_millis(1000),
+            RequestClass::Bid => Duration::from_millis(2000),
+            RequestClass::Order => Duration::from_millis(1500),
         }
     }
 }
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shape {
     /// How nodes hear of the list.
-    pub membership: Membership,
+    pub discovery: DiscoveryMode,
     /// Descriptors that a node may hold.
     pub sockets: usize,
     /// Part of what all servers can do that is asked for.
@@ -71,7 +71,7 @@
     pub fn draw(seed: u64) -> Shape {
         let mut rng = fastrand::Rng::with_seed(!seed);
         Shape {
-            membership: if seed.is_multiple_of(2) { Membership::Pushed } else { Membership::Asked },
+            discovery: if seed.is_multiple_of(2) { DiscoveryMode::Push } else { DiscoveryMode::Poll },
             sockets: [128, 256, 512][rng.usize(..3)],
             load: 0.3 + 0.6 * rng.f64(),
         }
@@ -80,36 +80,36 @@
 
 /// How nodes hear of the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Membership {
+pub enum DiscoveryMode {
     /// An agent beside each node has it.
-    Pushed,
+    Push,
     /// One service for all nodes is asked.
-    Asked,
+    Poll,
 }
 
 /// The settings that every node is given.
-pub fn settings(membership: Membership, nodes: usize, slot: usize) -> Value {
-    let mode = match membership {
-        Membership::Pushed => "pushed",
-        Membership::Asked => "on_request",
+pub fn settings(discovery: DiscoveryMode, nodes: usize, index: usize) -> Value {
+    let mode = match discovery {
+        DiscoveryMode::Push => "pushed",
+        DiscoveryMode::Poll => "on_request",
     };
-    let class = |class: Class, semantics: &str, objective: u32, value: u32| {
+    let class = |class: RequestClass, semantics: &str, objective: u32, value: u32| {
         json!({"name": class.name(), "semantics": semantics, "group": "all", "objectiveMs": objective,
                "hardLimitMs": class.limit().as_millis() as u64, "value": value,
-               "keyTtlMs": KEY_TTL.as_millis() as u64})
+               "keyTtlMs": DEDUPLICATION_WINDOW.as_millis() as u64})
     };
     json!({
-        "areas": ["a"], "zone": "a", "instances": nodes, "slotNo": slot, "tickMs": 5.0,
+        "areas": ["a"], "zone": "a", "instances": nodes, "slotNo": index, "tickMs": 5.0,
         "membershipMode": mode,
-        "classes": [class(Class::View, "idempotent", 500, 3), class(Class::Bid, "deduplicated", 800, 8),
-                    class(Class::Order, "at_most_once", 700, 10)],
+        "classes": [class(RequestClass::View, "idempotent", 500, 3), class(RequestClass::Bid, "deduplicated", 800, 8),
+                    class(RequestClass::Order, "at_most_once", 700, 10)],
         "reporting": {"names": ["rif"], "via": "answers"},
-        "limits": {"attemptsCap": MOST_ATTEMPTS, "connIdleMs": SERVER_IDLE.as_millis() as u64,
+        "limits": {"attemptsCap": MAX_ATTEMPTS, "connIdleMs": SERVER_IDLE_TIMEOUT.as_millis() as u64,
                    "connectTimeoutMs": 200.0, "mayCancel": true, "maxRetryAfterMs": 1000.0, "maxStreams": 1,
                    "openCap": 2000, "peerMessages": true, "probing": false, "retryAfter": true,
                    "secondCopies": true},
-        "rules": {"coldMs": COLD_TIME.as_millis() as u64, "startCapacity": START_CAPACITY,
-                  "fallMultiple": FALL_MULTIPLE, "fallMs": FALL_TIME.as_millis() as u64,
+        "rules": {"coldMs": SLOW_START_TIME.as_millis() as u64, "startCapacity": INITIAL_CAPACITY,
+                  "fallMultiple": OVERLOAD_MULTIPLE, "fallMs": OVERLOAD_WINDOW.as_millis() as u64,
                   "drainGraceMs": DRAIN_GRACE.as_millis() as u64, "mustAskInMs": 10000.0}
     })
 }
@@ -132,8 +132,8 @@
     pub name: String,
     /// Where it calls discovery.
     pub discovery: SocketAddr,
-    /// Where it takes calls.
-    pub console: SocketAddr,
+    /// Where operators connect.
+    pub admin: SocketAddr,
     /// Of its random numbers.
     pub seed: u64,
     /// Descriptors that it may hold.
@@ -151,7 +151,7 @@
     let peers: Vec<String> = peers.iter().map(SocketAddr::to_string).collect();
     json!({
         "name": start.name, "listen": addresses.listen.to_string(), "discovery": start.discovery.to_string(),
-        "seed": format!("{:016x}", start.seed), "console": start.console.to_string(),
+        "seed": format!("{:016x}", start.seed), "console": start.admin.to_string(),
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": start.sockets},
         "peer_listen": addresses.peers.to_string(), "peers": peers,
         "known": known, "settings": settings
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,11 @@
-//! The decisions of an HTTP load balancer that runs as a small bank of nodes, and the forms that they are told in.
+//! The decisions of an HTTP load balancer that runs as a small bank of nodes, and the formats that they are
+//! configured and tested in.
 //!
-//! [`policy`] decides: [`Balancer`](policy::Balancer) is a state machine without I/O, clock, threads or globals. A host
-//! tells it what happened ([`policy::Event`]) and when, and carries out the [`policy::Action`]s it gets back. Nodes
-//! share nothing; the same seed and events give the same actions. [`settings_file`] reads the settings that both hosts,
-//! the node and the simulator adapter, are given. [`simulator`] is the simulator's text protocol.
+//! [`policy`] decides: [`Balancer`](policy::Balancer) is a state machine without I/O, clock, threads or
+//! globals. A host reports what happened ([`policy::Event`]) and when, and carries out the
+//! [`policy::Action`]s it gets back. Nodes share nothing; the same seed and events give the same actions.
+//! [`settings_file`] reads the settings that both hosts, the node and the simulator adapter, are given.
+//! [`simulator`] is the simulator's text protocol.
 //!
 //! ```
 //! use wheelpath::policy::{
--- a/src/load_report_text.rs
+++ b/src/load_report_text.rs
@@ -1,4 +1,5 @@
-//! Load reports as endpoints write them: names and figures, in a header of HTTP or in a field of the simulator.
+//! Load reports as endpoints write them: names and figures, in a header of HTTP or in a field of the
+//! simulator.
 
 use crate::policy::LoadReport;
 
@@ -15,8 +16,8 @@
     })
 }
 
-/// Reads the header of an answer, `TEXT inflight=7, queue=2`. What cannot be read is left out: the report is advice,
-/// and the answer that carries it stands.
+/// Reads the header of an answer, `TEXT inflight=7, queue=2`. What cannot be read is left out: the report
+/// is advice, and the answer that carries it stands.
 pub fn parse_header(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
     let text = text.trim().trim_start_matches("TEXT");
--- a/src/node/admin/mod.rs
+++ b/src/node/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' side of the node: a command is a line on a connection of its own, the answer a line that begins with
-//! `done` or `error`.
+//! The operators' side of the node: a command is a line on a connection of its own, the answer a line that
+//! begins with `done` or `error`.
 //!
 //! [`command`] reads commands, [`server`] carries them out.
 
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -1,7 +1,8 @@
 //! Takes operators' connections and carries their commands out.
 //!
-//! A command is read whole before anything is done about it. Operators are few and never wait behind clients: their
-//! descriptors are kept free, and when all places are taken the connection that has been silent for longest goes.
+//! A command is read completely before anything is done about it. Operators are few and never wait behind
+//! clients: their descriptors are kept free, and when all places are taken the connection that has been
+//! silent for longest goes.
 
 use super::command::{AdminCommand, CommandError, MAX_LENGTH};
 use crate::driver::Driver;
@@ -24,7 +25,7 @@
 
 /// Operators' connections at a time.
 pub const MAX_CONNECTIONS: usize = 16;
-/// A connection that has not brought a whole command by then is told so and closed.
+/// A connection that has not sent a complete command by then gets an error and is closed.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
 /// What still comes behind a command is read for so long, so that the answer is not lost to a reset.
 const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
@@ -53,10 +54,11 @@
 pub struct AdminServer {
     driver: Rc<Driver>,
     frontend: Rc<Frontend>,
-    /// Where another process may run beside this one.
+    /// Where another process may run alongside this one.
     takeover: Option<Rc<Takeover>>,
     descriptors: Rc<Descriptors>,
-    /// Connections that have brought no whole command yet, the oldest first. Dropping the handle closes one.
+    /// Connections that have sent no complete command yet, the oldest first. Dropping the handle closes
+    /// one.
     waiting: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
     open: Cell<usize>,
     next_connection: Cell<u64>,
@@ -180,8 +182,8 @@
         Ok(if has_changed { "in service again, cold" } else { "was not out of service" })
     }
 
-    /// True if the command changed anything. Where a later process may take over, the change is kept for it before this
-    /// returns.
+    /// True if the command changed anything. Where a later process may take over, the change is kept for it
+    /// before this returns.
     async fn set_disabled(&self, id: &str, disable: bool) -> Result<bool, AdminError> {
         let endpoint = self.driver.find_endpoint(id).ok_or(AdminError::UnknownEndpoint)?;
         match &self.takeover {
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -14,12 +14,12 @@
 const LISTEN_VARIABLE: &str = "LB_LISTEN";
 const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
 const ADMIN_VARIABLE: &str = "LB_CONSOLE";
-/// Limits where the file tells none.
+/// Limits where the file has none.
 const DEFAULT_SOCKETS: usize = 1024;
 const DEFAULT_MEMORY_MB: usize = 192;
 const BYTES_PER_MB: usize = 1024 * 1024;
 
-/// All that a node is told at its start.
+/// All that a node is configured with.
 pub struct Config {
     /// This node's name.
     pub name: String,
@@ -123,7 +123,7 @@
         self.text(field, variable)?.map(|text| parse_address(field, &text)).transpose()
     }
 
-    /// A limit, or its default where the file tells none.
+    /// A limit, or its default where the file has none.
     fn limit(&self, name: &str, default: usize) -> Result<usize, ConfigError> {
         match self.json.pointer(&format!("/limits/{name}")) {
             None | Some(Value::Null) => Ok(default),
@@ -174,7 +174,8 @@
         Config::read_file(&|variable| std::env::var(variable).ok())
     }
 
-    /// Reads the file again. The environment is as it was at the start: what the file says of discovery is newer.
+    /// Reads the file again. The environment is as it was at the start: what the file says of discovery is
+    /// newer.
     ///
     /// # Errors
     /// No node can be started from it.
--- a/src/node/discovery/client.rs
+++ b/src/node/discovery/client.rs
@@ -17,31 +17,32 @@
 use wheelpath::policy::DiscoveryMode;
 use wheelpath::settings_file::Names;
 
-/// With polled discovery a watch waits as long as the protocol allows: an update that a silent watch misses counts as known
-/// 2 s after its wait, and from silence alone nobody can tell that there is none.
+/// With polled discovery a watch waits as long as the protocol allows. A change that a silent watch misses
+/// counts as known 2 s after that wait.
 const POLL_WAIT: Duration = Duration::from_secs(60);
-/// Beyond the wait, a call waits its turn at the service, which fails it after 2 s. With more time than this, what a silent
-/// call misses would count as known before the next call is answered.
+/// Time for the answer beyond the wait: a call may be queued at the service, which fails it after 2 s. With
+/// a longer timeout, a change that a silent call misses would count as known before the next call is
+/// answered.
 const POLL_ANSWER_TIMEOUT: Duration = Duration::from_millis(2_200);
 const POLL_CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// An agent costs nothing to ask, and a short wait soon shows one that has fallen silent: what it gets at its return counts
-/// at once.
+/// Calls to an agent are free, and a short wait soon shows one that has fallen silent; changes that it gets
+/// when it returns count at once.
 const PUSH_WAIT: Duration = Duration::from_millis(150);
-/// An agent answers at once, but for one that is slow.
+/// An agent answers at once, unless it is slow.
 const PUSH_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// An agent that does not take a connection by then is not there.
+/// An agent that does not accept a connection by then is down.
 const PUSH_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// An agent that has not answered this long after the wait is asked again beside, and then at each interval: what it was
-/// asked while it was silent it may never answer.
+/// If an agent has not answered this long after the wait, the call is repeated in parallel, and again at
+/// each interval: an agent may never answer calls that came while it was silent.
 const PUSH_REPEAT_AFTER: Duration = Duration::from_millis(100);
 const PUSH_REPEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// Beside a watch that brings nothing a call asks what changed, so often, and then the watch is made anew.
+/// Number of calls in parallel to a watch without updates; after these the watch is renewed.
 const CHECKS_PER_WATCH: u32 = 2;
-/// After such a call that failed, the next comes after this part of the interval: about half a second.
+/// If such a call fails, it is repeated after this fraction of the interval, about half a second.
 const FAILED_CHECK_RETRY_PART: u32 = 32;
-/// What is read of an answer at a time, in bytes.
+/// Read buffer, in bytes.
 const READ_BUFFER: usize = 64 * 1024;
-/// The largest answer, in bytes: a whole list may be a great deal larger than a request.
+/// The largest answer, in bytes: a full list may be a great deal larger than a request.
 const MAX_ANSWER: usize = 8 * 1024 * 1024;
 
 /// Why a call brought no list.
@@ -71,7 +72,8 @@
 }
 
 impl DiscoveryError {
-    /// Nothing came in time, or nothing that can be read: discovery did not refuse.
+    /// Whether discovery was silent: nothing came in time, or nothing that can be read, as opposed to a
+    /// refusal.
     pub fn is_silence(&self) -> bool {
         matches!(
             self,
@@ -83,7 +85,7 @@
         )
     }
 
-    /// This machine could not make the call: that says nothing of discovery.
+    /// Whether this machine could not make the call, which says nothing about discovery.
     pub fn is_local(&self) -> bool {
         matches!(self, DiscoveryError::Connect(ConnectError::Local(_)))
     }
@@ -92,7 +94,7 @@
 /// What a call asks for.
 #[derive(Clone, Copy, Debug)]
 pub enum Call {
-    /// What has changed by now; the whole list where no version is known.
+    /// What has changed by now; the full list where no version is known.
     CatchUp,
     /// The next update. While none comes, other calls ask what changed, at this interval.
     Watch {
@@ -105,7 +107,7 @@
 pub enum CallOutcome {
     /// A list.
     List(EndpointList),
-    /// No update for so long that the watch is to be made anew.
+    /// No update for so long that the watch is to be renewed.
     WatchExpired,
 }
 
@@ -127,10 +129,10 @@
     }
 }
 
-/// What was asked of an agent, as a call that goes on until it ends.
+/// A call to an agent in progress.
 type RunningCall<'a> = Pin<Box<dyn Future<Output = Result<AgentAnswer, DiscoveryError>> + 'a>>;
 
-/// An agent's list, and the connection that it came on.
+/// The list of an agent, and the connection that it came on.
 struct AgentAnswer {
     list: EndpointList,
     connection: Option<UpstreamConnection>,
@@ -156,7 +158,7 @@
         self.connection = None;
     }
 
-    /// Makes a call for what changed after a version; without one, for the whole list.
+    /// Makes a call for what changed after a version; without one, for the full list.
     ///
     /// # Errors
     /// No list came, for any reason.
@@ -191,7 +193,8 @@
         Ok(outcome)
     }
 
-    /// Makes a call, and further ones beside it to an agent that does not answer in time: the first answer is taken.
+    /// Makes a call, and further ones in parallel to an agent that does not answer in time: the first
+    /// answer is taken.
     async fn ask(
         &self,
         address: SocketAddr,
@@ -227,8 +230,8 @@
         }
     }
 
-    /// Asks now and then, beside a watch that brings nothing, what changed: what a silent watch misses, and a service that
-    /// counts versions anew, show in no other way before the watch ends.
+    /// Polls in parallel to a watch without updates. Changes that a silent watch misses, and a service that
+    /// counts versions anew, would otherwise show only when the watch ends.
     async fn check_beside_watch(
         &self,
         address: SocketAddr,
@@ -247,8 +250,8 @@
         CallOutcome::WatchExpired
     }
 
-    /// Asks what changed until there is an answer. A refusal by a service with too many callers, or silence, leaves the
-    /// watch standing, but that may be silent too: so the call is made again soon, and not at one time by all nodes.
+    /// Polls until there is an answer. After a refusal or silence the watch is still open but may be silent
+    /// too, so the call is repeated soon.
     async fn check_until_answered(
         &self,
         address: SocketAddr,
@@ -299,7 +302,7 @@
     }
 }
 
-/// Waits for the first of some calls to end, and takes it from among them.
+/// Waits for the first of several calls to end, and removes it.
 async fn first_ended(calls: &mut Vec<RunningCall<'_>>) -> Result<AgentAnswer, DiscoveryError> {
     poll_fn(|cx| {
         let ended = calls.iter_mut().enumerate().find_map(|(index, call)| match call.as_mut().poll(cx) {
--- a/src/node/discovery/endpoint_list.rs
+++ b/src/node/discovery/endpoint_list.rs
@@ -27,8 +27,8 @@
 }
 
 impl EndpointList {
-    /// Reads a list. Entries that cannot be read are logged and skipped: one of them must not hide the rest. None where
-    /// this is no list, or no entry can be read.
+    /// Reads a list. Entries that cannot be read are logged and skipped: one of them must not hide the
+    /// rest. None where this is no list, or no entry can be read.
     pub fn parse(json: &Value, names: &Names) -> Option<EndpointList> {
         let version = json.get("rev")?.as_u64()?;
         let is_whole = json.get("all").and_then(Value::as_bool).unwrap_or(false);
@@ -48,7 +48,8 @@
         is_list.then_some(EndpointList { version, is_whole, endpoints, has_bad_entries })
     }
 
-    /// The version after which changes alone tell the rest: none where this is not a whole list, read in full.
+    /// The version after which changes alone tell the rest: none where this is not a full list, read
+    /// without errors.
     pub fn base_version(&self) -> Option<u64> {
         let is_base = self.is_whole && !self.has_bad_entries && !self.endpoints.is_empty();
         is_base.then_some(self.version)
@@ -89,7 +90,8 @@
     let state = parse_state(text("state"))?;
     let address = text("endpoint").and_then(|text| text.parse::<SocketAddr>().ok());
     if state != EndpointState::Active {
-        // Of an endpoint that leaves nothing else matters: whatever cannot be read must not keep it in service.
+        // Of an endpoint that leaves nothing else matters: whatever cannot be read must not keep it in
+        // service.
         let update = EndpointUpdate { endpoint, zone: 0, cell: 0, state, weight: 1.0, started_at_ms: 0.0 };
         return Ok(DiscoveredEndpoint { update, boot_ms: 0.0, address });
     }
--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -9,7 +9,8 @@
 //! | `CatchingUp`, `Watching` | a failure that is repeated here | `CatchingUp` |
 //! | `CatchingUp`, `Watching` | a failure whose repetition the decisions pace | `Paused` |
 //!
-//! Only polled discovery pauses: each call costs the one service of all nodes, so the decisions pace them after a failure.
+//! Only polled discovery pauses: each call costs the one service of all nodes, so the decisions pace them
+//! after a failure.
 
 use super::client::{Call, CallOutcome, DiscoveryClient, DiscoveryError};
 use super::endpoint_list::EndpointList;
@@ -25,25 +26,29 @@
 use wheelpath::policy::{DiscoveryMode, WatchUpdate};
 use wheelpath::settings_file::Names;
 
-/// Time between two calls beside a watch that brings nothing, at most. A call may fall silent at each turn before anything
-/// counts as known, and the service has about as many calls as from watches of this length.
+/// Time between two calls in parallel to a watch without updates, at most. Even if a call is silent at each
+/// check, the next one is answered before a change counts as known; and the service gets about as many
+/// calls as from watches of this length.
 const CHECK_INTERVAL: Duration = Duration::from_secs(18);
-/// Part of that by which nodes differ, so that an update to all of them does not have all of them call at once later.
+/// Random part of that interval, so that nodes which got the same update do not all call at the same moment
+/// later.
 const CHECK_JITTER: f64 = 0.25;
-/// What discovery has counts as known this long after a new configuration.
+/// A change counts as known this long after a new configuration, whether or not the node has it.
 const MOVE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Until then a failed call is repeated after a pause of this at most, whatever the decisions' pace.
 const MOVE_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// A process that starts has clients sent to it once discovery has answered: changes made while nobody listened may count
-/// at once. With polled discovery that takes the spread of the first calls, a turn there and some more; an agent is near.
-/// For longer than this an outage of discovery must not be one of the nodes that start in it.
+/// A process that starts is ready once discovery has answered, because changes made while it was down may
+/// count at once. With polled discovery that takes the spread of the first calls and a wait in the queue;
+/// an agent is near. After this time the process is ready without an answer, so that an outage of discovery
+/// does not become an outage of the nodes.
 const POLL_START_TIMEOUT: Duration = Duration::from_millis(4_500);
 const PUSH_START_TIMEOUT: Duration = Duration::from_secs(1);
-/// A call that discovery fails so soon has not waited its turn there: discovery is down, and its list not to be had.
+/// A call that fails within this time was not queued: discovery is down, and no newer list can be had.
 const DOWN_WITHIN: Duration = Duration::from_secs(1);
-/// Pause after a failed call where nobody paces the calls; within 200 ms a watch goes on.
+/// Pause after a failed call that the decisions do not pace. The protocol wants a watch to go on within 200
+/// ms.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// A watch that ended this soon without an update has not waited.
+/// A watch that ends within this time without an update did not wait.
 const HASTY_WATCH: Duration = Duration::from_millis(50);
 
 /// What the watch does next.
@@ -51,14 +56,14 @@
 enum WatchState {
     /// Waits until the decisions ask for a call.
     Paused,
-    /// Asks what has changed by now, without waiting for an update: at the start, after a failure, and after a new
-    /// configuration.
+    /// Asks what has changed by now, without waiting for an update: at the start, after a failure, and
+    /// after a new configuration.
     CatchingUp,
     /// Waits for the next update.
     Watching,
 }
 
-/// How a failed call is followed up.
+/// When a failed call is repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Retry {
     AtOnce,
@@ -79,11 +84,12 @@
     pub descriptors: Rc<Descriptors>,
     /// The decisions' requests to watch, with polled discovery.
     pub watch_requests: mpsc::UnboundedReceiver<bool>,
-    /// The version of the list that the node has, if it has one; shared with what outlives the process. The first call
-    /// asks for what changed since: a whole list costs the service a line for each endpoint, and after an outage all
-    /// nodes start at once.
+    /// The version of the list that the node has, if it has one; shared with what outlives the process. The
+    /// first call asks for what changed since: a full list costs the service a line for each endpoint, and
+    /// after an outage all nodes start at once.
     pub version: Rc<Cell<Option<u64>>>,
-    /// The process before this one knew a newer list: it is asked for at once, whatever the decisions' pace.
+    /// The process before this one knew a newer list: it is asked for at once, whatever the decisions'
+    /// pace.
     pub is_behind: bool,
     /// For jitter.
     pub rng: fastrand::Rng,
@@ -98,7 +104,7 @@
     address: SocketAddr,
     watch_requests: mpsc::UnboundedReceiver<bool>,
     shared_version: Rc<Cell<Option<u64>>>,
-    /// The version that the next call asks for changes after; none where it asks for the whole list.
+    /// The version that the next call asks for changes after; none where it asks for the full list.
     version: Option<u64>,
     consecutive_failures: u32,
     /// A silent call was repeated at once since the last answer.
@@ -147,7 +153,7 @@
             };
             let begun_at = Instant::now();
             let mut addresses = self.addresses.clone();
-            // A call to where discovery was is given up: its answer would be that of another list.
+            // A call to the old address is abandoned: its answer may be of another list.
             let ended = tokio::select! {
                 ended = self.client.call(self.address, self.version, call) => ended,
                 Ok(()) = addresses.changed() => continue,
@@ -173,14 +179,15 @@
         }
     }
 
-    /// Turns to where a new configuration says that discovery is, and asks there at once.
+    /// Takes over a new address from the configuration; the next call goes there at once.
     fn take_new_address(&mut self) {
         let address = *self.addresses.borrow_and_update();
         if address == self.address {
             return;
         }
-        // An agent may count versions on its own, and tells all of its list for nothing. The one service of all nodes has
-        // the same count wherever it is, and cannot tell each of them all of its list in time.
+        // An agent may count versions on its own, and sends its full list at no cost. The one service of
+        // all nodes has the same count wherever it is, and cannot send its full list to each of them in
+        // time.
         self.version = self.version.filter(|_| self.mode == DiscoveryMode::Poll);
         self.address = address;
         self.client.disconnect();
@@ -215,7 +222,7 @@
         }
         match outcome {
             CallOutcome::List(list) => self.on_list(list, was_watching, begun_at, driver).await,
-            // No change is an answer too: the call did not fail.
+            // An answer without a change still means that the call did not fail.
             CallOutcome::WatchExpired => report(driver, WatchUpdate::Delta, None),
         }
     }
@@ -229,7 +236,8 @@
     ) {
         let has_not_waited = begun_at.elapsed() < HASTY_WATCH;
         let is_idle_turn = was_watching && self.version == Some(list.version) && has_not_waited;
-        // A version below the known one is of another count: only the whole list says what holds.
+        // Discovery counts versions anew if its version is below the known one: only the full list is valid
+        // then.
         let counts_anew = !list.is_whole && self.version.is_none_or(|known| list.version < known);
         self.version = if counts_anew { None } else { Some(list.version) };
         self.shared_version.set(self.version);
@@ -239,13 +247,13 @@
             driver.trust_list();
         }
         if counts_anew || is_idle_turn {
-            // A watch that did not wait and brought nothing must not make this loop spin.
+            // Keeps this loop from spinning on watches that do not wait.
             tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// What was missed may count as known soon, and a watch that is silent in its turn would not show it: the next call
-    /// does not wait for an update.
+    /// Handles a failed call. Changes missed meanwhile may count as known soon, so the next call does not
+    /// wait for an update.
     async fn on_failure(&mut self, error: &DiscoveryError, begun_at: Instant, driver: &Rc<Driver>) {
         self.client.disconnect();
         self.state = WatchState::CatchingUp;
@@ -269,12 +277,12 @@
 
     fn retry_after(&mut self, error: &DiscoveryError) -> Retry {
         if self.mode == DiscoveryMode::Push {
-            // The agent that answers next may count anew, and here the whole list costs nothing.
+            // The agent that answers next may count versions anew, and its full list costs nothing.
             self.version = None;
             Retry::After(RETRY_PAUSE)
         } else if error.is_silence() && !self.has_repeated_silent_call {
-            // What the call would have told counts as known soon, and silence is no sign of load: an overbooked service
-            // refuses.
+            // A change that the call would have brought counts as known soon, and silence is no sign of
+            // overload: an overloaded service refuses.
             Retry::AtOnce
         } else if Instant::now() < self.known_by {
             Retry::After(MOVE_RETRY_PAUSE.mul_f64(0.5 + 0.5 * self.rng.f64()))
@@ -284,13 +292,14 @@
     }
 }
 
-/// Tells the decisions what a call brought.
+/// Reports to the decisions what a call brought.
 fn report(driver: &Rc<Driver>, update: WatchUpdate, list: Option<EndpointList>) {
     let endpoints = list.map_or_else(Vec::new, |list| list.endpoints);
     driver.take(DriverEvent::EndpointsChanged { update, endpoints });
 }
 
-/// Lets a node that starts go by the list that it was given, once discovery has had its time. The task ends then.
+/// Marks the configured list as good enough to serve by, once discovery has had time to answer. The task
+/// ends then.
 async fn trust_list_after_start(mode: DiscoveryMode, driver: Rc<Driver>) {
     let timeout = match mode {
         DiscoveryMode::Push => PUSH_START_TIMEOUT,
--- a/src/node/driver/attempt.rs
+++ b/src/node/driver/attempt.rs
@@ -14,7 +14,7 @@
 use tokio::task::spawn_local;
 use wheelpath::policy::{AttemptOutcome, EndpointId, RequestId};
 
-/// The longest time that an order is understood to mean, in milliseconds; it may be infinite.
+/// Upper bound for the times of an order, which may be infinite, in milliseconds.
 const MAX_SPAN_MS: f64 = 1e9;
 
 /// An attempt as the decisions want it.
@@ -26,7 +26,7 @@
     pub begin_within_ms: f64,
 }
 
-/// Reports the end of an attempt once, by being dropped: also when its task ends in a way that nobody foresaw.
+/// Reports the end of an attempt exactly once, when dropped, even if its task ends unexpectedly.
 struct AttemptReport {
     driver: Rc<Driver>,
     id: RequestId,
@@ -39,7 +39,7 @@
 
 impl AttemptReport {
     fn response(&mut self) -> AttemptResponse {
-        // What ended with no result may have run.
+        // An attempt that ended without a result may have run.
         let result = self.result.take().unwrap_or_else(|| AttemptOutcome::ConnectionReset.into());
         AttemptResponse {
             id: self.id,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Asks once more as the first byte of an attempt is about to go out: its connection took time.
+    /// Checks again right before the first byte of an attempt is sent, because connecting took time.
     fn still_wanted(&self, id: RequestId, attempt: &Attempt) -> Result<(), WithheldReason> {
         let mut core = self.core.borrow_mut();
         let is_routable = core.is_routable(attempt.endpoint);
@@ -136,8 +136,9 @@
     Duration::from_secs_f64(ms.clamp(0.0, MAX_SPAN_MS) / 1000.0)
 }
 
-/// Carries an attempt out until it ends or is cancelled. The task that runs this ends by itself, at the latest with the
-/// attempt's timeout and, for a streamed response, with that; the end of the process ends it too.
+/// Carries an attempt out until it ends or is cancelled. The task that runs this ends by itself, at the
+/// latest with the attempt's timeout and, for a streamed response, with that; the end of the process ends
+/// it too.
 async fn run_attempt(attempt: Attempt, mut report: AttemptReport, mut cancelled: oneshot::Receiver<()>) {
     let driver = report.driver.clone();
     let end = drive_attempt(&driver, &attempt, &mut report, &mut cancelled).await;
@@ -157,7 +158,8 @@
     driver.keep_connection(attempt.endpoint, attempt.address, connection);
 }
 
-/// Waits for the end of an attempt or the beginning of a streamed response, while the request's body goes on.
+/// Waits for the end of an attempt or the beginning of a streamed response, while the request's body goes
+/// on.
 async fn drive_attempt(
     driver: &Rc<Driver>,
     attempt: &Attempt,
--- a/src/node/driver/endpoint_table.rs
+++ b/src/node/driver/endpoint_table.rs
@@ -22,7 +22,7 @@
     address: SocketAddr,
     is_active: bool,
     location: Location,
-    /// When it last started as the list states it, by which a further start is told.
+    /// When it last started as the list states it, by which a further start is recognized.
     boot_ms: f64,
     /// When it last started, in milliseconds on the decisions' clock.
     started_at_ms: f64,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// When it started anew, by what the list now states. That is after its last start: where the clocks say otherwise
-    /// they cannot be relied on, and it counts as started just now.
+    /// When it started anew, by what the list now states. That is after its last start: where the clocks
+    /// say otherwise they cannot be relied on, and it counts as started just now.
     fn restarted_at_ms(&self, boot_ms: f64, clock: &Clock) -> f64 {
         let at_ms = clock.wall_to_monotonic(boot_ms);
         if at_ms > self.started_at_ms { at_ms } else { clock.now_ms() }
@@ -87,8 +87,8 @@
         self.active.get(&id).map_or_else(Location::default, |endpoint| endpoint.location)
     }
 
-    /// Takes in a report of discovery, closes idle connections to endpoints that have restarted, moved or left, and says
-    /// it in the decisions' terms.
+    /// Takes in a report of discovery, closes idle connections to endpoints that have restarted, moved or
+    /// left, and says it in the decisions' terms.
     pub fn apply(
         &mut self,
         update: WatchUpdate,
@@ -105,7 +105,7 @@
         updates
     }
 
-    /// A whole list follows: an endpoint that it leaves out has been removed.
+    /// A full list follows: an endpoint that it leaves out has been removed.
     fn forget_all(&mut self) {
         self.active.values_mut().for_each(|endpoint| endpoint.is_active = false);
         self.listed.clear();
--- a/src/node/driver/event.rs
+++ b/src/node/driver/event.rs
@@ -38,7 +38,7 @@
         request: Request,
         /// What goes on to an endpoint.
         proxied: Rc<ProxiedRequest>,
-        /// The way to answer it.
+        /// Where its answer goes.
         responder: Responder,
     },
     /// The client has gone or needs nothing more, and how the request ends by that if it has no answer yet.
@@ -57,7 +57,7 @@
     Enable(EndpointId),
     /// What the process before this one knew of endpoints.
     SnapshotRestored(Vec<EndpointSnapshot>),
-    /// Another process of this node serves beside this one from now on.
+    /// Another process of this node serves alongside this one from now on.
     HandoverStarted,
     /// Another node's message.
     PeerMessage {
--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -1,8 +1,9 @@
 //! The only owner of the balancer: events in, actions out, one at a time and in order.
 //!
-//! Sockets, timers and tasks report to [`Driver::take`]. What they report is noted in the tables of open requests and
-//! known endpoints, translated for the balancer, and the actions that come back are carried out at once. The driver
-//! decides nothing itself; it holds every attempt and rejection against the [`InvariantGuard`] before it is made.
+//! Sockets, timers and tasks report to [`Driver::take`]. What they report is noted in the tables of open
+//! requests and known endpoints, translated for the balancer, and the actions that come back are carried
+//! out at once. The driver decides nothing itself; it checks every attempt and rejection with the
+//! [`InvariantGuard`] before it carries it out.
 
 mod attempt;
 mod endpoint_table;
@@ -58,7 +59,7 @@
     peers: Option<Rc<PeerSocket>>,
     watch_requests: mpsc::UnboundedSender<bool>,
     next_request: Cell<u64>,
-    /// The endpoint list is not only the one that the process was given: that may be long out of date.
+    /// Discovery has answered, or has had time to: until then the list may be long out of date.
     list_is_current: Cell<bool>,
 }
 
@@ -92,8 +93,8 @@
         })
     }
 
-    /// Takes in a request and hands out its pending response. `deadline` is when the decisions must have ended it,
-    /// `expires_at` when this node does so without them.
+    /// Takes in a request and hands out its pending response. `deadline` is when the decisions must have
+    /// ended it, `expires_at` when this node does so without them.
     pub fn submit(
         self: &Rc<Self>,
         mut request: Request,
@@ -141,7 +142,8 @@
         self.list_is_current.get() && core.endpoints.ids().any(|id| core.is_routable(id))
     }
 
-    /// From now on the node goes by the list that it has: discovery has told it, or does not answer. True the first time.
+    /// Marks the endpoint list as good enough to serve by: discovery has sent it, or does not answer. True
+    /// the first time.
     pub fn trust_list(&self) -> bool {
         !self.list_is_current.replace(true)
     }
@@ -171,7 +173,7 @@
         self.core.borrow().balancer.snapshot(self.clock.now_ms())
     }
 
-    /// The one way in. What comes up while an event is handled waits for its end.
+    /// The single entry point for events. Events that arise while one is handled are queued.
     pub fn take(self: &Rc<Self>, event: DriverEvent) {
         self.inbox.borrow_mut().push_back(event);
         let Ok(mut core) = self.core.try_borrow_mut() else { return };
--- a/src/node/driver/pending_response.rs
+++ b/src/node/driver/pending_response.rs
@@ -21,7 +21,8 @@
     Failed,
 }
 
-/// The one answer that each request gets. Responding uses it up, so there is no second; dropping it fails the request.
+/// The one answer that each request gets. Responding uses it up, so there is no second; dropping it fails
+/// the request.
 pub struct Responder(oneshot::Sender<Answer>);
 
 impl Responder {
@@ -35,7 +36,8 @@
     }
 }
 
-/// The client's side of a pending answer. Dropped before the answer came, it tells that the client has gone.
+/// The client's side of a pending answer. Dropped before the answer came, it reports that the client has
+/// gone.
 pub struct PendingResponse {
     driver: Rc<Driver>,
     id: RequestId,
--- a/src/node/driver/request_table.rs
+++ b/src/node/driver/request_table.rs
@@ -144,7 +144,8 @@
         let open = self.requests.get_mut(&id);
         let handle = open.and_then(|open| open.cancel_handles.get_mut(attempt as usize));
         if let Some(cancel) = handle.and_then(Option::as_mut) {
-            // A handle whose other end has gone stands for an attempt that was cancelled and has not reported yet.
+            // A handle whose other end has gone stands for an attempt that was cancelled and has not
+            // reported yet.
             *cancel = oneshot::channel().0;
         }
     }
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -1,6 +1,9 @@
-//! One client's connection, from its accept to its close.
+//! Serves one client's connection, from its accept to its close.
 
 use super::Frontend;
+use super::client_connection::{
+    ClientConnection, ConnectionState, REQUEST_HEAD_TIMEOUT, RequestInProgress,
+};
 use super::request_reader::{ArrivalTime, ParsedRequest};
 use super::responses::{self, ClientResponse, closing, full, plain};
 use crate::headers;
@@ -8,32 +11,22 @@
 use crate::system::descriptors::DescriptorPermit;
 use crate::system::socket::Socket;
 use hyper::body::Incoming;
-use hyper::header::{CONTENT_LENGTH, HeaderValue, TRANSFER_ENCODING};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use std::cell::{Cell, RefCell};
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use thiserror::Error;
 use tokio::net::TcpStream;
-use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// A connection that has brought no whole head since it began, or since its last response, is closed: it is silent, sends
-/// half a request, or does not read its response.
-const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
-/// From its connecting on, for one that has never brought a whole head.
-const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2800);
-/// A client that takes nothing of a streamed response for so long is cut. What the system holds for it hides a slow one for
-/// a few seconds.
-const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// A connection that carries a request when its timeouts are looked at is looked at again so soon.
+/// Timeouts of a connection that carries a request are checked again after this time.
 const TIMEOUT_RECHECK: Duration = Duration::from_millis(100);
-/// What a client is still sending when its connection ends is read for so long and so far: a socket closed with unread bytes
-/// resets, and takes a response under way along.
+/// Lingering close: what a client still sends when its connection ends is read for this time and up to this
+/// many bytes. Closing a socket with unread bytes resets the connection, and the client would lose a
+/// response in flight.
 const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 const LINGERING_CLOSE_BYTES: usize = 32 * 1024 * 1024;
 const BOTH_FRAMINGS: &str = "both a length and chunks\n";
@@ -50,11 +43,11 @@
     Client,
     /// The last response said so, or hyper ended it behind one.
     Answered,
-    /// A response broke off, and its end must not look like a whole one.
+    /// A response broke off, and its end must not look like a complete one.
     Broken,
     /// Nothing came on it for long.
     Idle,
-    /// A head never became whole.
+    /// A request head was never completed.
     HalfHead,
     /// The client takes nothing of a streamed response.
     Stalled,
@@ -82,177 +75,7 @@
     }
 }
 
-/// What a connection is doing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ConnectionState {
-    /// It has brought no whole head yet.
-    AwaitingFirstRequest,
-    /// A request on it has not been answered, or its response is still on its way.
-    Serving,
-    /// It has been answered and nothing of a further request has come.
-    Idle,
-    /// Some of a further request has come, and is not read as one yet.
-    ReadingRequest,
-    /// Its last response is given, and only what the client still sends is read.
-    Closing,
-}
-
-/// How much of a streamed response has been written, and since when no more.
-#[derive(Clone, Copy, Debug)]
-struct WriteProgress {
-    written: u64,
-    since: Instant,
-}
-
-/// One client connection.
-pub(super) struct ClientConnection {
-    pub socket: Socket,
-    /// Requests on it whose responses have not ended: the next may come before the last is put away.
-    requests_in_progress: Cell<u32>,
-    has_asked: Cell<bool>,
-    /// When its first request came, if that waited for this node to take the connection.
-    waited_since: Cell<Option<Instant>>,
-    pub idle_since: Cell<Instant>,
-    /// Bytes read when it last turned idle.
-    read_when_idle: Cell<u64>,
-    /// When it was first looked at with a request begun and not read whole.
-    stuck_since: Cell<Option<Instant>>,
-    is_closing: Cell<bool>,
-    /// Requests that told a length.
-    told_lengths: Cell<u64>,
-    /// A streamed response is on its way to it.
-    takes_stream: Cell<bool>,
-    write_progress: Cell<WriteProgress>,
-    /// The id of its last request, to name it by where it is not answered.
-    last_trace_id: RefCell<Option<HeaderValue>>,
-    pub close_requested: Notify,
-}
-
-impl ClientConnection {
-    fn new(socket: Socket, waited_since: Option<Instant>) -> ClientConnection {
-        socket.expect_head();
-        ClientConnection {
-            socket,
-            requests_in_progress: Cell::new(0),
-            has_asked: Cell::new(false),
-            waited_since: Cell::new(waited_since),
-            idle_since: Cell::new(Instant::now()),
-            read_when_idle: Cell::new(0),
-            stuck_since: Cell::new(None),
-            is_closing: Cell::new(false),
-            told_lengths: Cell::new(0),
-            takes_stream: Cell::new(false),
-            write_progress: Cell::new(WriteProgress { written: 0, since: Instant::now() }),
-            last_trace_id: RefCell::default(),
-            close_requested: Notify::new(),
-        }
-    }
-
-    /// What it is doing.
-    pub fn state(&self) -> ConnectionState {
-        if self.is_closing.get() {
-            ConnectionState::Closing
-        } else if self.requests_in_progress.get() > 0 {
-            ConnectionState::Serving
-        } else if !self.has_asked.get() {
-            ConnectionState::AwaitingFirstRequest
-        } else if self.has_unread_request() {
-            ConnectionState::ReadingRequest
-        } else {
-            ConnectionState::Idle
-        }
-    }
-
-    /// It has brought a whole head.
-    pub fn has_asked(&self) -> bool {
-        self.has_asked.get()
-    }
-
-    /// Its last response is given.
-    pub fn is_closing(&self) -> bool {
-        self.is_closing.get()
-    }
-
-    /// Some of a request has come, and is not read as one yet.
-    pub fn has_unread_request(&self) -> bool {
-        self.socket.read() != self.read_when_idle.get()
-    }
-
-    pub fn idle_for(&self) -> Duration {
-        self.idle_since.get().elapsed()
-    }
-
-    /// For how long it has been looked at with a request begun and not read whole.
-    pub fn stuck_for(&self) -> Duration {
-        let since = self.stuck_since.get().unwrap_or_else(Instant::now);
-        self.stuck_since.set(Some(since));
-        since.elapsed()
-    }
-
-    /// When it must have brought a whole head: a while after that began, or after its last response. One that never asks
-    /// for anything must be gone within three seconds, whenever it began to.
-    fn head_deadline(&self) -> Instant {
-        let idle_since = self.idle_since.get();
-        match self.socket.head_begun_at() {
-            Some(begun_at) if self.has_asked.get() => begun_at + REQUEST_HEAD_TIMEOUT,
-            Some(begun_at) => (begun_at + REQUEST_HEAD_TIMEOUT).min(idle_since + FIRST_REQUEST_TIMEOUT),
-            None => idle_since + REQUEST_HEAD_TIMEOUT,
-        }
-    }
-
-    /// Nothing is on it, and no whole head came in time.
-    fn idle_timeout_elapsed(&self) -> bool {
-        self.requests_in_progress.get() == 0 && self.head_deadline() <= Instant::now()
-    }
-
-    /// The client takes nothing more of the streamed response on its way to it.
-    fn response_stalled(&self) -> bool {
-        let progress = self.write_progress.get();
-        if !self.takes_stream.get() || progress.written != self.socket.written() {
-            let progress = WriteProgress { written: self.socket.written(), since: Instant::now() };
-            self.write_progress.set(progress);
-            return false;
-        }
-        progress.since.elapsed() > RESPONSE_STALL_TIMEOUT
-    }
-
-    /// Notes that a request told a length. True if other lines that tell one have come than such requests know of: hyper
-    /// drops the length of a request that comes in chunks too, which may be meant to smuggle one.
-    fn hides_length(&self, request: &Request<Incoming>) -> bool {
-        let tells_length = request.headers().contains_key(CONTENT_LENGTH);
-        self.told_lengths.set(self.told_lengths.get() + u64::from(tells_length));
-        request.headers().contains_key(TRANSFER_ENCODING)
-            && self.socket.length_headers() > self.told_lengths.get()
-    }
-}
-
-/// Marks a connection as serving for as long as a request is on it.
-struct RequestInProgress(Rc<ClientConnection>);
-
-impl RequestInProgress {
-    fn new(client: Rc<ClientConnection>) -> RequestInProgress {
-        client.requests_in_progress.set(client.requests_in_progress.get() + 1);
-        client.has_asked.set(true);
-        client.stuck_since.set(None);
-        RequestInProgress(client)
-    }
-}
-
-impl Drop for RequestInProgress {
-    fn drop(&mut self) {
-        let client = &self.0;
-        client.requests_in_progress.set(client.requests_in_progress.get().saturating_sub(1));
-        if client.requests_in_progress.get() > 0 {
-            return;
-        }
-        client.takes_stream.set(false);
-        client.socket.expect_head();
-        client.idle_since.set(Instant::now());
-        client.read_when_idle.set(client.socket.read());
-    }
-}
-
-/// A client's place among those connected: given up however its task ends, or its descriptor would stay.
+/// Removes a client from the table when its task ends, in whatever way.
 struct RegisteredClient {
     frontend: Rc<Frontend>,
     number: u64,
@@ -311,25 +134,7 @@
 
     /// Serves requests until the connection is to end, and says why.
     async fn run_connection(self: &Rc<Self>, client: &Rc<ClientConnection>, socket: Socket) -> CloseReason {
-        let service = service_fn(|request| {
-            let hides_length = client.hides_length(&request);
-            client.last_trace_id.replace(request.headers().get(headers::TRACE_ID).cloned());
-            let in_progress = RequestInProgress::new(client.clone());
-            async move {
-                let mut response = if hides_length {
-                    self.count_turned_away(BOTH_FRAMINGS);
-                    closing(StatusCode::BAD_REQUEST, BOTH_FRAMINGS)
-                } else {
-                    self.respond(request, client).await?
-                };
-                client.takes_stream.set(response.body().is_streamed());
-                if response.body().is_streamed() {
-                    client.socket.limit_unsent();
-                }
-                response.body_mut().hold(in_progress);
-                Ok::<_, ClientLeft>(response)
-            }
-        });
+        let service = service_fn(|request| self.serve_request(request, client));
         let io = TokioIo::new(socket);
         let connection = http1::Builder::new().max_buf_size(self.buffer).serve_connection(io, service);
         let mut connection = pin!(connection);
@@ -357,10 +162,37 @@
         }
     }
 
+    /// Answers one request. The connection counts as serving from this call on, until the response has
+    /// ended.
+    fn serve_request<'a>(
+        &'a self,
+        request: Request<Incoming>,
+        client: &'a Rc<ClientConnection>,
+    ) -> impl Future<Output = Result<ClientResponse, ClientLeft>> + 'a {
+        let hides_length = client.hides_length(&request);
+        client.last_trace_id.replace(request.headers().get(headers::TRACE_ID).cloned());
+        let in_progress = RequestInProgress::new(client.clone());
+        async move {
+            let mut response = if hides_length {
+                self.count_turned_away(BOTH_FRAMINGS);
+                closing(StatusCode::BAD_REQUEST, BOTH_FRAMINGS)
+            } else {
+                self.respond(request, client).await?
+            };
+            client.takes_stream.set(response.body().is_streamed());
+            if response.body().is_streamed() {
+                client.socket.limit_unsent();
+            }
+            response.body_mut().hold(in_progress);
+            Ok(response)
+        }
+    }
+
     /// Whether a timeout of the connection has elapsed.
     fn check_timeouts(&self, client: &ClientConnection, check: &mut TimeoutCheck) -> Option<CloseReason> {
         let has_elapsed = client.idle_timeout_elapsed();
-        // What waits to be read then came in time, if this node had its turn late: it has one more check's time to be.
+        // If this task was polled late, unread bytes may have come in time: the connection gets one more
+        // check.
         let is_late_here = has_elapsed && !check.was_extended && !client.socket.quiet();
         check.was_extended = is_late_here;
         if has_elapsed && !is_late_here {
@@ -417,8 +249,8 @@
         }
     }
 
-    /// Has a request answered for as long as its client is there. hyper looks for a client's end only where nothing else is
-    /// to be read: behind a further request it would show after the response to this one.
+    /// Answers a request unless its client leaves first. hyper notices a client's close only when nothing
+    /// else is left to read, so behind a pipelined request it would notice too late.
     async fn submit(&self, parsed: ParsedRequest, socket: &Socket) -> Result<ClientResponse, ClientLeft> {
         if self.driver.open_requests() >= self.max_open_requests {
             return Ok(full());
@@ -434,10 +266,10 @@
     }
 }
 
-/// When the timeouts of a connection are looked at.
+/// When the timeouts of a connection are checked.
 struct TimeoutCheck {
     next_at: Instant,
-    /// The last look gave it more time.
+    /// The last check was extended once.
     was_extended: bool,
 }
 
@@ -447,8 +279,8 @@
     }
 }
 
-/// Why hyper ended a connection. Errors are the client's, which does not speak the protocol and was told so, or of a client
-/// that has left, or of a body that broke off: then the end of the connection must not look like the body's.
+/// Why hyper ended a connection. User errors come from response bodies that broke off, which must not look
+/// complete to the client; other errors are the client's.
 fn reason_of_end(ended: Result<(), hyper::Error>, is_evicted: bool) -> CloseReason {
     match ended {
         Err(error) if error.is_user() => CloseReason::Broken,
--- a/src/node/frontend/eviction.rs
+++ b/src/node/frontend/eviction.rs
@@ -1,16 +1,16 @@
 //! Which client's connection is closed when there is no descriptor for another.
 //!
-//! What the system holds unread of a connection may be a whole request, or the rest of one, whatever this node has read so
-//! far: a connection is closed only once the system, too, has nothing of it.
+//! A connection that looks idle may have unread bytes in the system's receive buffer, which may be a
+//! complete request. So it is closed only if the system has no unread bytes either.
 
 use super::Frontend;
-use super::connection::{ClientConnection, ConnectionState};
+use super::client_connection::{ClientConnection, ConnectionState};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A connection this young has its first request under way.
+/// The first request of a connection this young is probably in flight.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(25);
-/// Under pressure, a client that has not gone on with a request for so long is in the others' way.
+/// Under pressure, a client that has not gone on with a request for so long is evicted.
 const STUCK_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The order in which connections are closed, the first first.
@@ -23,7 +23,7 @@
 }
 
 impl ConnectionState {
-    /// When it is its turn to be closed; never while a request is on it.
+    /// When it may be evicted; never while a request is on it.
     pub fn eviction_priority(self) -> Option<EvictionPriority> {
         match self {
             ConnectionState::Closing => Some(EvictionPriority::Closing),
@@ -36,7 +36,8 @@
 }
 
 impl ClientConnection {
-    /// Whether it may be closed now, asking the system too. A client that has just connected is about to ask.
+    /// Whether it may be closed now, asking the system too. A client that has just connected is about to
+    /// send a request.
     pub fn may_close(&self) -> bool {
         match self.state() {
             ConnectionState::Serving => false,
@@ -68,9 +69,9 @@
 }
 
 impl Frontend {
-    /// Makes room: a client that has asked nothing goes before those that will ask again, the oldest first. One that has
-    /// just connected may be about to ask; where such hold most places, that moment is waited for rather than a usual
-    /// client closed for them.
+    /// Closes one connection to free a descriptor: clients that have sent no request go before those that
+    /// will send another, the oldest first. A client that has just connected may be about to send one. If
+    /// such clients hold most of the places, they are waited for, and no usual client is closed for them.
     pub(super) fn evict_one(&self) {
         let clients = self.clients.borrow();
         let mut order: Vec<Evictable<'_>> = clients.values().filter_map(Evictable::new).collect();
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Closes what carries nothing; with `unfinished_heads` also what has begun a head and does not go on with it.
+    /// Closes idle connections; with `unfinished_heads` also those with a request head that does not
+    /// progress.
     pub(super) fn close_idle(&self, unfinished_heads: bool) {
         let clients = self.clients.borrow();
         let closable = clients
--- a/src/node/frontend/listener.rs
+++ b/src/node/frontend/listener.rs
@@ -12,8 +12,8 @@
 /// In which the system says whether another connection waits.
 const LAST_ACCEPT_POLL: Duration = Duration::from_millis(5);
 
-/// What a turn of the accept loop brought.
-enum Turn {
+/// What one pass of the accept loop brought.
+enum AcceptEvent {
     Accepted(Result<TcpStream, AcceptError>),
     /// The process has just been told to stop.
     StopRequested,
@@ -25,19 +25,21 @@
     /// Takes connections until told to stop, and then for as long as they still come.
     pub async fn accept(self: &Rc<Self>, acceptor: Acceptor) {
         let mut last_accepted_at = Instant::now();
-        // Connections that came while this node had no turn wait in the backlog, and no more than that holds.
+        // Connections that came while this task was not polled wait in the backlog, and no more than that
+        // holds.
         let mut last_polls = CLIENT_BACKLOG;
         while !self.is_succeeded.get() {
             let window = self.accept_window(last_accepted_at);
-            let accepted = match self.next_turn(&acceptor, window, &mut last_polls).await {
-                Turn::Accepted(accepted) => accepted,
-                Turn::StopRequested => continue,
-                Turn::Over => return,
+            let accepted = match self.next_event(&acceptor, window, &mut last_polls).await {
+                AcceptEvent::Accepted(accepted) => accepted,
+                AcceptEvent::StopRequested => continue,
+                AcceptEvent::Over => return,
             };
             match accepted {
                 Ok(stream) => {
                     last_accepted_at = Instant::now();
-                    // Under pressure this waits for a descriptor: others wait in the backlog and are taken then.
+                    // Under pressure this waits for a descriptor: others wait in the backlog and are taken
+                    // then.
                     let permit = self.descriptors.take_for_client().await;
                     let waited_since = accept_time::first_byte(&stream, acceptor.waited_at_most());
                     self.serve(stream, permit, waited_since);
@@ -47,24 +49,29 @@
         }
     }
 
-    async fn next_turn(&self, acceptor: &Acceptor, window: AcceptWindow, last_polls: &mut u32) -> Turn {
+    async fn next_event(
+        &self,
+        acceptor: &Acceptor,
+        window: AcceptWindow,
+        last_polls: &mut u32,
+    ) -> AcceptEvent {
         tokio::select! {
-            accepted = acceptor.accept() => Turn::Accepted(accepted),
+            accepted = acceptor.accept() => AcceptEvent::Accepted(accepted),
             () = window.closed() => {
                 match tokio::time::timeout(LAST_ACCEPT_POLL, acceptor.accept()).await {
                     Ok(accepted) if *last_polls > 0 => {
                         *last_polls -= 1;
-                        Turn::Accepted(accepted)
+                        AcceptEvent::Accepted(accepted)
                     }
-                    _ => Turn::Over,
+                    _ => AcceptEvent::Over,
                 }
             }
-            () = self.stop_requested.notified() => Turn::StopRequested,
+            () = self.stop_requested.notified() => AcceptEvent::StopRequested,
         }
     }
 
-    /// An accept that failed may neither end the node nor keep it or its log busy. Only where this process has no
-    /// descriptor left does the close of something idle help.
+    /// An accept that failed may neither end the node nor keep it or its log busy. Only where this process
+    /// has no descriptor left does the close of something idle help.
     async fn on_accept_error(&self, acceptor: &Acceptor, error: AcceptError) {
         self.count_turned_away(error.text());
         if matches!(error, AcceptError::OutOfDescriptors) {
--- a/src/node/frontend/mod.rs
+++ b/src/node/frontend/mod.rs
@@ -1,10 +1,12 @@
 //! The client side: connections, the requests read from them, and the responses.
 //!
-//! Clients may be slow, silent or broken, and hold descriptors meanwhile. [`listener`] takes connections, [`connection`]
-//! serves one and closes it in one place, [`eviction`] chooses which goes first when there is no descriptor for another,
-//! and [`request_reader`] turns what cannot be served away before an endpoint hears of it. [`readiness`] says whether
-//! clients are wanted, [`shutdown`] lets what was taken be answered before the process ends.
+//! Clients may be slow, silent or broken, and hold descriptors meanwhile. [`listener`] takes connections,
+//! [`connection`] serves one and closes it in one place, [`eviction`] chooses which goes first when there
+//! is no descriptor for another, and [`request_reader`] rejects what cannot be served before an endpoint
+//! hears of it. [`readiness`] says whether clients are wanted, [`shutdown`] lets what was taken be answered
+//! before the process ends.
 
+mod client_connection;
 mod connection;
 mod eviction;
 mod listener;
@@ -18,7 +20,7 @@
 pub use request_reader::RequestReader;
 
 use crate::driver::Driver;
-use crate::frontend::connection::ClientConnection;
+use crate::frontend::client_connection::ClientConnection;
 use crate::frontend::readiness::NotReady;
 use crate::observability::log;
 use crate::system::descriptors::Descriptors;
@@ -28,7 +30,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Time between two lines on what was turned away.
+/// Time between two lines on what was rejected.
 const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(10);
 /// Part of all descriptors that clients may keep between their requests.
 const KEEP_ALIVE_PART: usize = 4;
@@ -42,7 +44,8 @@
     descriptors: Rc<Descriptors>,
     clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next_client: Cell<u64>,
-    /// What was turned away since that was last logged, by the response's text, and clients cut for being slow.
+    /// What was rejected since that was last logged, by the response's text, and clients cut for being
+    /// slow.
     turned_away: RefCell<BTreeMap<&'static str, u32>>,
     turned_away_logged_at: Cell<Option<Instant>>,
     /// What was logged last on whether this process takes clients.
@@ -88,7 +91,7 @@
             if let Some(frontend) = weak.upgrade() {
                 frontend.evict_one();
             }
-            // The connection closes when its task has its turn, not at once.
+            // The connection closes when its task is polled, not at once.
             false
         }));
         frontend
@@ -107,8 +110,8 @@
         }
     }
 
-    /// Whether more clients stay than there are descriptors for to be kept idle: those that ask now are served and go, so
-    /// that the next find a place.
+    /// Whether more clients stay than there are descriptors for to be kept idle: those that ask now are
+    /// served and go, so that the next find a place.
     fn has_too_many_keep_alive(&self) -> bool {
         let stays = |client: &&Rc<ClientConnection>| client.has_asked() && !client.is_closing();
         let staying = self.clients.borrow().values().filter(stays).count();
--- a/src/node/frontend/readiness.rs
+++ b/src/node/frontend/readiness.rs
@@ -10,7 +10,7 @@
 
 /// A drained node leaves so much time to requests that are on their way on connections it has answered on.
 const CLIENT_DRAIN_TIMEOUT: Duration = Duration::from_millis(1000);
-/// How often connections of a drained node are looked through.
+/// How often connections of a drained node are checked.
 const CLIENT_DRAIN_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Why the node takes no clients.
@@ -58,8 +58,8 @@
 }
 
 impl Frontend {
-    /// Whether the node takes clients: an endpoint could serve them, and nobody wants them elsewhere. Each change is
-    /// counted and logged.
+    /// Whether the node takes clients: an endpoint could serve them, and nobody wants them elsewhere. Each
+    /// change is counted and logged.
     ///
     /// # Errors
     /// Why it does not.
--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -1,7 +1,7 @@
-//! A client's request, turned from head and body into what the decisions and an endpoint need, or turned away.
+//! A client's request, turned from head and body into what the decisions and an endpoint need, or rejected.
 //!
-//! What is turned away costs no endpoint anything and is answered at once. Its connection ends with the answer: the rest of
-//! what such a client sends is not wanted, and may not mean what it seems to.
+//! What is rejected here costs no endpoint anything and is answered at once. Its connection ends with the
+//! answer: the rest of what such a client sends is not wanted, and may not mean what it seems to.
 
 use super::responses::{ClientResponse, closing, full};
 use super::trace_ids::{OpenTraceIds, TraceIdGuard};
@@ -26,15 +26,15 @@
 use wheelpath::settings_file::Names;
 use wheelpath::stable_hash::stable_hash;
 
-/// The client counts from its send, this node from the arrival: time for the way here, the response's way back, and this
-/// loop. The decisions end a request so long before the client gives up.
+/// The decisions end a request this long before the client gives up: the client counts from its send, this
+/// node from the arrival, and the response has to travel back.
 const DECISION_MARGIN: Duration = Duration::from_millis(4);
-/// And so long before, the node ends what the decisions have not.
+/// The node ends a request this long before the client gives up, if the decisions have not.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(1);
-/// No deadline of a class is taken for longer, in milliseconds.
+/// Upper bound for the deadline of a class, in milliseconds.
 const MAX_DEADLINE_MS: f64 = 6e5;
 
-/// Headers that concern one connection only, or that are made anew.
+/// Headers that concern one connection only, or that the node sets itself.
 const CONNECTION_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -46,7 +46,7 @@
     UPGRADE,
 ];
 
-/// Why a request is turned away: the status and text of the response.
+/// Why a request is rejected: the status and text of the response.
 #[derive(Debug)]
 pub(super) struct BadRequest {
     status: StatusCode,
@@ -62,7 +62,7 @@
         BadRequest::new(StatusCode::BAD_REQUEST, text)
     }
 
-    /// What the client is told.
+    /// The text of the response.
     pub fn text(&self) -> &'static str {
         self.text
     }
@@ -87,7 +87,7 @@
     pub deadline: Instant,
     /// When this node does so without them.
     pub expires_at: Instant,
-    /// Held for as long as the request is open.
+    /// Kept for as long as the request is open.
     pub trace_id: TraceIdGuard,
 }
 
@@ -161,13 +161,13 @@
             return Err(BadRequest::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MiB\n"));
         }
         let CollectedBody { body, memory } = self.collect(body, length, arrival.head_read_at).await?;
-        let is_empty = matches!(&body, RequestBody::Whole(bytes) if bytes.is_empty());
+        let is_empty = matches!(&body, RequestBody::Buffered(bytes) if bytes.is_empty());
         if class.idempotency == Idempotency::Idempotent && !is_empty {
             return Err(BadRequest::malformed("a request that is safe to repeat has no body\n"));
         }
         // The time counts from the last byte: of a body that is streamed, that comes later.
         let arrived_at = arrival.waited_since.unwrap_or_else(Instant::now);
-        // A client that holds back its body holds no id.
+        // A client that withholds its body occupies no id.
         let trace_id = self.trace_ids.take(trace_id);
         let conflict = BadRequest::new(StatusCode::CONFLICT, "an open request has this X-Trace-Id\n");
         Ok(ParsedRequest {
@@ -179,8 +179,8 @@
         })
     }
 
-    /// Reads a whole body, or the first part of one that is too long to be buffered. It takes memory as it comes: what is
-    /// announced and held back takes none from others.
+    /// Reads a whole body, or the first part of one that is too long to be buffered. It takes memory as it
+    /// comes: what is announced but not sent takes none from others.
     async fn collect(
         &self,
         mut body: Incoming,
@@ -195,7 +195,7 @@
             let deadline = rate.deadline(buffered.len() as u64, moved_at);
             let frame = tokio::time::timeout_at(deadline.into(), body.frame()).await;
             let Some(frame) = frame.map_err(|_| BodyReadError::TooSlow)? else {
-                return Ok(CollectedBody { body: RequestBody::Whole(buffered.freeze()), memory });
+                return Ok(CollectedBody { body: RequestBody::Buffered(buffered.freeze()), memory });
             };
             // Trailers are for this connection alone.
             let Ok(data) = frame.map_err(|_| BodyReadError::Broken)?.into_data() else { continue };
@@ -226,21 +226,21 @@
     id.cloned().ok_or(BadRequest::malformed("X-Trace-Id is missing\n"))
 }
 
-/// The length of the body; none where it comes in chunks, since only their end tells it.
+/// The length of the body; none where it comes in chunks, since only their end shows it.
 fn body_length(head: &Parts) -> Result<Option<u64>, BadRequest> {
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Ok(None);
     }
     match head.headers.get(CONTENT_LENGTH) {
-        // hyper has read it: one that is no number has not come so far.
+        // hyper has already rejected lengths that are not a number.
         Some(length) => Ok(length.to_str().ok().and_then(|length| length.parse().ok())),
         None if head.method == Method::GET => Ok(Some(0)),
         None => Err(BadRequest::new(StatusCode::LENGTH_REQUIRED, "Content-Length is missing\n")),
     }
 }
 
-/// The class tells how often the request may run; a method that says otherwise is a mistake, and taking it for either
-/// could run something twice.
+/// The class states how often the request may run; a method that says otherwise is a mistake, and taking it
+/// for either could run something twice.
 fn check_class_agrees(class: &RequestClass, head: &Parts, length: Option<u64>) -> Result<(), BadRequest> {
     let has_key = head.headers.contains_key(headers::IDEMPOTENCY_KEY);
     let agrees = match class.idempotency {
--- a/src/node/frontend/responses.rs
+++ b/src/node/frontend/responses.rs
@@ -14,7 +14,7 @@
 
 /// A response with a fixed text.
 pub(super) fn plain(status: StatusCode, text: &'static str) -> ClientResponse {
-    let mut response = Response::new(ResponseBody::whole(Bytes::from_static(text.as_bytes())));
+    let mut response = Response::new(ResponseBody::buffered(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
--- a/src/node/frontend/shutdown.rs
+++ b/src/node/frontend/shutdown.rs
@@ -1,23 +1,25 @@
 //! The end of the process, as a sequence of phases.
 //!
-//! 1. Told to stop: every response closes its connection. New connections are taken for as long as clients may not know
-//!    yet, and then until none has come for a moment ([`AcceptWindow`]); none at all where a successor takes them.
+//! 1. Told to stop: every response closes its connection. New connections are taken for as long as clients
+//!    may not know yet, and then until none has come for a moment ([`AcceptWindow`]); none at all where a
+//!    successor takes them.
 //! 2. Winding down: connections that carry nothing are closed, the others when they are answered.
-//! 3. Shortly before the end, heads that have not come whole are not waited for any more.
+//! 3. Shortly before the end, incomplete request heads are not waited for any more.
 //! 4. What is still open is failed by the driver, and those failures are written.
 
 use super::Frontend;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// New connections come for up to 0.4 s after the notice to stop, and a margin; then until none has come for a moment.
+/// New connections come for up to 0.4 s after the notice to stop, and a margin; then until none has come
+/// for a moment.
 const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(700);
 const SHUTDOWN_ACCEPT_QUIET_TIME: Duration = Duration::from_millis(150);
 /// But so long at most: SIGKILL would find unanswered what is taken later.
 const SHUTDOWN_ACCEPT_MAX_TIME: Duration = Duration::from_millis(1500);
 /// A head that has not come so long before the end of the process is not waited for.
 const SHUTDOWN_HEAD_TIMEOUT: Duration = Duration::from_millis(400);
-/// How often connections are looked through while they wind down.
+/// How often connections are checked while they wind down.
 const WIND_DOWN_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Until when new connections are taken, as far as that is known.
@@ -47,15 +49,16 @@
         AcceptWindow { closes_at }
     }
 
-    /// From now on every response closes its connection. New connections are taken for a while, or not at all where
-    /// another process has succeeded this one on the same socket.
+    /// From now on every response closes its connection. New connections are taken for a while, or not at
+    /// all where another process has succeeded this one on the same socket.
     pub fn stop(&self, is_succeeded: bool) {
         self.stopping_since.set(Some(Instant::now()));
         self.is_succeeded.set(is_succeeded);
         self.stop_requested.notify_one();
     }
 
-    /// Closes what carries nothing, and the rest as it is answered; returns when no client is left, or at `end`.
+    /// Closes what carries nothing, and the rest as it is answered; returns when no client is left, or at
+    /// `end`.
     pub async fn wind_down(self: &Rc<Self>, end: Instant) {
         while Instant::now() < end && !self.clients.borrow().is_empty() {
             let time_left = end.saturating_duration_since(Instant::now());
--- a/src/node/headers.rs
+++ b/src/node/headers.rs
@@ -16,7 +16,7 @@
 pub const FURTHER_TRY: HeaderName = HeaderName::from_static("x-second-try");
 /// By this key endpoints drop repeats of a request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Set to 1 by an endpoint that turned a request away without running it.
+/// Set to 1 by an endpoint that rejected a request without running it.
 pub const NEVER_RAN: HeaderName = HeaderName::from_static("x-never-ran");
 /// An endpoint's report of its load.
 pub const LOAD_REPORT: HeaderName = HeaderName::from_static("endpoint-load-metrics");
--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -1,7 +1,7 @@
 //! One node: the decisions of the crate `wheelpath` on real sockets.
 //!
-//! The node runs in one thread. [`startup`] wires its parts together; each part says where it starts a task what ends it,
-//! and the end of the process ends those that last as long as the node.
+//! The node runs in one thread. [`startup`] wires its parts together; each part says where it starts a task
+//! what ends it, and the end of the process ends those that last as long as the node.
 
 mod admin;
 mod config;
--- a/src/node/observability/counters.rs
+++ b/src/node/observability/counters.rs
@@ -1,5 +1,5 @@
-//! What this process has done so far, counted by reason: shown by the operators' `counters` command and in the log at the
-//! end. The names that are shown are read by the operators' tools and stay as they are.
+//! What this process has done so far, counted by reason: shown by the operators' `counters` command and in
+//! the log at the end. The names that are shown are read by the operators' tools and stay as they are.
 
 use super::log;
 use std::cell::RefCell;
--- a/src/node/observability/invariants.rs
+++ b/src/node/observability/invariants.rs
@@ -1,7 +1,8 @@
-//! The guard of every attempt and rejection: whatever the decisions want, nothing begins that a rule forbids.
+//! The guard of every attempt and rejection: whatever the decisions want, nothing begins that a rule
+//! forbids.
 //!
-//! The decisions keep the same rules by themselves. This stands behind them with what the node itself has seen, so that an
-//! error of either shows as a violation and goes no further.
+//! The decisions keep the same rules by themselves. This stands behind them with what the node itself has
+//! seen, so that an error of either shows as a violation and goes no further.
 
 use super::counters::Violation;
 use wheelpath::policy::{AttemptOutcome, Idempotency, Location, RequestClass, Settings};
@@ -49,7 +50,7 @@
     pub location: Location,
 }
 
-/// The rules that attempts and rejections are held to.
+/// The rules that attempts and rejections must satisfy.
 #[derive(Clone, Debug)]
 pub struct InvariantGuard {
     classes: Vec<RequestClass>,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// A class that is not known is held to the strictest rule.
+    /// A class that is not known falls under the strictest rule.
     fn idempotency(&self, class: usize) -> Idempotency {
         self.classes.get(class).map_or(Idempotency::NotIdempotent, |class| class.idempotency)
     }
--- a/src/node/observability/log.rs
+++ b/src/node/observability/log.rs
@@ -1,8 +1,8 @@
 //! Log lines on standard error: few and bounded, since the event loop waits while one is written.
 //!
-//! There are lines on the node, and one line on each request that did not go well: what it met, by its id. Both are
-//! bounded in number; `LB_TRACE=all` has a line on every request. A log that nobody reads must neither end the node nor hold
-//! it up: a line that cannot be written at once is dropped and counted.
+//! There are lines on the node, and one line on each request that did not go well: what it met, by its id.
+//! Both are bounded in number; `LB_TRACE=all` has a line on every request. A log that nobody reads must
+//! neither end the node nor hold it up: a line that cannot be written at once is dropped and counted.
 
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 use std::cell::{Cell, OnceCell};
@@ -90,7 +90,8 @@
 
 /// Where lines go.
 enum Sink {
-    /// The pipe that is standard error, opened anew: whether writes wait is then for this process alone to say.
+    /// The pipe that is standard error, opened anew: whether writes wait is then for this process alone to
+    /// say.
     Pipe(File),
     /// Anything else, or a pipe that may not be opened: others may write to it, too.
     Shared,
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -64,8 +64,8 @@
 }
 
 impl PeerSocket {
-    /// Listens at `listen`. A `shared` address is also that of the process before this one or after it, for as long as
-    /// there are two: each message reaches one of them.
+    /// Listens at `listen`. A `shared` address is also that of the process before this one or after it, for
+    /// as long as there are two: each message reaches one of them.
     ///
     /// # Errors
     /// The address is taken, or the system cannot do it for the moment.
@@ -88,12 +88,13 @@
         }
     }
 
-    /// Waits for the next message of a node of the tier; other senders and overlong datagrams are passed over.
+    /// Waits for the next message of a node of the tier; other senders and overlong datagrams are passed
+    /// over.
     pub async fn receive(&self) -> PeerMessage {
         let mut buffer = [0_u8; MAX_MESSAGE + 1];
         loop {
             let Ok((length, sender)) = self.socket.recv_from(&mut buffer).await else {
-                // The system tells of an earlier send here, such as one to a peer that is down.
+                // The system reports errors of earlier sends here, such as one to a peer that is down.
                 tokio::time::sleep(RECEIVE_RETRY_PAUSE).await;
                 continue;
             };
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -1,4 +1,5 @@
-//! Reads the configuration again on SIGHUP. Where discovery is may change under way; all else holds from start to end.
+//! Reads the configuration again on SIGHUP. Where discovery is may change under way; all else holds from
+//! start to end.
 
 use crate::config::{Config, ConfigError};
 use crate::observability::log;
@@ -7,7 +8,8 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// A file that cannot be read, or is not whole, may be so in a moment: so often it is tried, and so far apart.
+/// A file that cannot be read, or is incomplete, may be readable in a moment: so often it is tried, and so
+/// far apart.
 const READ_ATTEMPTS: u32 = 5;
 const READ_RETRY_PAUSE: Duration = Duration::from_millis(40);
 
--- a/src/node/snapshot/process_id.rs
+++ b/src/node/snapshot/process_id.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Fields of `/proc/PID/stat` behind the name, which may hold anything: the state is the first, the start time the
-/// twentieth.
+/// Fields of `/proc/PID/stat` behind the name, which may hold anything: the state is the first, the start
+/// time the twentieth.
 const STATE_FIELD: usize = 0;
 const START_TIME_FIELD: usize = 19;
 
@@ -29,7 +29,8 @@
     }
 }
 
-/// When the process of that number started; none where there is none, or it has ended and waits for its parent.
+/// When the process of that number started; none where there is none, or it has ended and waits for its
+/// parent.
 fn start_time(pid: u32) -> Option<u64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let (_, fields) = stat.rsplit_once(") ")?;
--- a/src/node/snapshot/state_file.rs
+++ b/src/node/snapshot/state_file.rs
@@ -1,7 +1,8 @@
 //! A small file that outlives the process.
 //!
-//! Writes and syncs may fail, and a kill may leave a write half done. So the file is replaced in one step by a draft
-//! beside it, a checksum tells a whole file from half of one, and the last good one is kept beside it.
+//! Writes and syncs may fail, and a kill may leave a write half done. So the file is replaced in one step
+//! by a draft beside it, a checksum tells a complete file from a truncated one, and the last good one is
+//! kept beside it.
 
 use super::process_id::ProcessId;
 use std::fs::File;
@@ -70,7 +71,7 @@
         self.folder.join(format!("{}.{pid}-{started}.{DRAFT_SUFFIX}", self.name))
     }
 
-    /// Reads what was written last, as far as a whole file is left; none where nothing was ever written.
+    /// Reads what was written last, as far as an intact file is left; none where nothing was ever written.
     ///
     /// # Errors
     /// Neither the file nor the last good one can be read.
@@ -93,14 +94,15 @@
 
     /// Replaces the file. Where that fails, what stood there before is still read.
     ///
-    /// A synced file has two whole copies in the end; otherwise the file before is kept as the last good one.
+    /// A synced file has two intact copies in the end; otherwise the file before is kept as the last good
+    /// one.
     ///
     /// # Errors
     /// The system cannot write, sync or rename.
     pub fn write(&self, body: &str, durability: Durability) -> io::Result<()> {
         match durability {
             Durability::Visible => {
-                // Only a whole file may take the place of the last good one.
+                // Only an intact file may take the place of the last good one.
                 if matches!(read_checked(&self.path()), Ok(Some(_))) {
                     std::fs::rename(self.path(), self.last_good_path())?;
                 }
--- a/src/node/snapshot/store.rs
+++ b/src/node/snapshot/store.rs
@@ -1,9 +1,9 @@
 //! The form of what one process leaves to the next, in two files.
 //!
-//! `node-calls.json` has the operators' overrides, which endpoints are out of service. They are owed once a command was
-//! answered, so they are on the disk by then. `node-state.json` has what the serving process is and has learned; it is
-//! written now and then, and a new process can do without. The names of their keys stay as they are: processes of
-//! different versions read each other's files.
+//! `node-calls.json` has the operators' overrides, which endpoints are out of service. They are owed once a
+//! command was answered, so they are on the disk by then. `node-state.json` has what the serving process is
+//! and has learned; it is written now and then, and a new process can do without. The names of their keys
+//! stay as they are: processes of different versions read each other's files.
 
 use super::process_id::ProcessId;
 use super::state_file::{Durability, ReadError, StateFile};
@@ -73,8 +73,8 @@
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// What a process has learned of an endpoint. Times are spans: neither the clock of another process nor the wall clock,
-/// which may be stepped, can tell a moment.
+/// What a process has learned of an endpoint. Times are spans: neither the clock of another process nor the
+/// wall clock, which may be stepped, can tell a moment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRecord {
     id: u64,
@@ -101,8 +101,8 @@
         }
     }
 
-    /// The snapshot, as if no time had passed since it was written. How long that is cannot be known, and an endpoint that
-    /// is cold or congested for longer than need be breaks no rule.
+    /// The snapshot, as if no time had passed since it was written. How long that is cannot be known, and
+    /// an endpoint that is cold or congested for longer than need be breaks no rule.
     pub fn snapshot(&self, now_ms: f64) -> EndpointSnapshot {
         EndpointSnapshot {
             endpoint: EndpointId(self.id),
@@ -123,7 +123,8 @@
     pub process: ProcessRecord,
 }
 
-/// The process file of version 1, which held both records. Its times are of the wall clock and not used.
+/// The process file of version 1, which contained both records. Its times are of the wall clock and not
+/// used.
 #[derive(Debug, Deserialize)]
 struct Version1 {
     version: u64,
@@ -134,7 +135,7 @@
 }
 
 impl Version1 {
-    /// What a file of version 1 tells; none where it is none.
+    /// What a file of version 1 contains; none where it is none.
     fn parse(text: &str) -> Option<Records> {
         let first: Version1 = serde_json::from_str(text).ok()?;
         if first.version != 1 {
@@ -189,7 +190,7 @@
     /// Writes the operators' overrides.
     ///
     /// # Errors
-    /// The disk does not take them.
+    /// They could not be written to disk.
     pub fn write_overrides(&self, overrides: &OperatorOverrides, durability: Durability) -> io::Result<()> {
         self.overrides_file.write(&to_json(overrides), durability)
     }
@@ -197,7 +198,7 @@
     /// Writes the record of the serving process.
     ///
     /// # Errors
-    /// The disk does not take it.
+    /// It could not be written to disk.
     pub fn write_process(&self, record: &ProcessRecord) -> io::Result<()> {
         self.process_file.write(&to_json(record), Durability::Visible)
     }
--- a/src/node/snapshot/takeover.rs
+++ b/src/node/snapshot/takeover.rs
@@ -1,7 +1,8 @@
-//! How a process takes over from the one before it, and keeps in step with one that runs beside it.
+//! How a process takes over from the one before it, and keeps in step with one that runs alongside it.
 //!
-//! While two processes run, the operators may command either. Each command that changes which endpoints are out of
-//! service raises a revision in the file, and a process that finds a higher one than its own takes that over.
+//! While two processes run, the operators may command either. Each command that changes which endpoints are
+//! out of service raises a revision in the file, and a process that finds a higher one than its own takes
+//! that over.
 
 use super::folder_lock::{FolderLock, LockError};
 use super::process_id::ProcessId;
@@ -19,10 +20,11 @@
 use tokio::time::MissedTickBehavior;
 use wheelpath::policy::EndpointId;
 
-/// How often the files are compared with this process, and in how many of those turns the process record is written.
+/// How often the files are compared with this process, and in how many of those turns the process record is
+/// written.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(200);
 const TURNS_PER_RECORD: u32 = 5;
-/// A command is answered within a second: for so long it is tried to keep an override, and so often.
+/// A command has to be answered within a second: an override is retried for this long, and this often.
 const OVERRIDE_TIMEOUT: Duration = Duration::from_millis(700);
 const OVERRIDE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -32,12 +34,12 @@
     /// Another process is about to change the overrides, or there can be no lock.
     #[error(transparent)]
     Lock(#[from] LockError),
-    /// The disk does not take it.
+    /// It could not be written to disk.
     #[error("cannot be kept: {0}")]
     Write(#[from] io::Error),
 }
 
-/// What this process leaves to the next, and shares with one that runs beside it.
+/// What this process leaves to the next, and shares with one that runs alongside it.
 pub struct Takeover {
     folder: PathBuf,
     store: SnapshotStore,
@@ -48,7 +50,7 @@
     list_version: Rc<Cell<Option<u64>>>,
     /// The process that this one took over from.
     predecessor: Cell<Option<ProcessId>>,
-    /// The process that serves beside this one.
+    /// The process that serves alongside this one.
     coexisting: Cell<Option<ProcessId>>,
     /// The process record names this process.
     declared: Cell<bool>,
@@ -71,8 +73,8 @@
         })
     }
 
-    /// Takes over what the process before this one left, and declares this one the serving one. True if that process knew
-    /// a newer endpoint list than the one given here.
+    /// Takes over what the process before this one left, and declares this one the serving one. True if
+    /// that process knew a newer endpoint list than the one given here.
     pub fn take_over(&self, driver: &Rc<Driver>) -> bool {
         let (overrides, process) = match self.store.read_version_1() {
             Some(Records { overrides, process }) => (Ok(Some(overrides)), Ok(Some(process))),
@@ -135,17 +137,19 @@
         }
     }
 
-    /// Writes the process record, unless that is for a process that has taken over to do.
+    /// Writes the process record, unless another process has taken over.
     fn write_record_if_serving(&self, driver: &Driver) {
         if !self.is_succeeded() {
             self.write_record(driver);
         }
     }
 
-    /// Takes an endpoint out of service or puts it back, for good once this returns. True if that changed anything.
+    /// Takes an endpoint out of service or puts it back; the change is durable once this returns. True if
+    /// that changed anything.
     ///
     /// # Errors
-    /// Nothing has changed: another process held the lock, or the disk did not take the change, for all of the time.
+    /// Nothing has changed: the lock was held by another process, or the change could not be written, until
+    /// the timeout.
     pub async fn set_disabled(
         &self,
         driver: &Rc<Driver>,
@@ -189,14 +193,15 @@
             } else {
                 DriverEvent::Enable(endpoint)
             });
-            // An enabled endpoint starts slowly from now on, which the next process has to know, however soon it follows.
+            // An enabled endpoint starts slowly from now on, which the next process has to know, however
+            // soon it follows.
             self.write_record_if_serving(driver);
         }
         Ok(changes)
     }
 
-    /// Writes the wanted overrides for good. Where that fails, those known before are put back under a later revision:
-    /// the others may be there to be seen, but not for good.
+    /// Writes the wanted overrides durably. If that fails after they became visible to other processes, the
+    /// overrides known before are written under a later revision.
     fn keep_overrides(
         &self,
         revision: u64,
@@ -256,7 +261,7 @@
         if stored.revision > revision {
             self.adopt(&stored, driver);
         } else if stored.revision < revision {
-            // What was answered for is gone from the disk.
+            // Overrides that operators were answered for are gone from the disk.
             if let Err(error) = self.write_overrides(revision, &driver.disabled(), Durability::Synced) {
                 log::line(&format!("handover: calls not written: {error}"));
             }
@@ -273,8 +278,8 @@
         self.store.read_process().ok().flatten().map(|record| record.process)
     }
 
-    /// Whether that is another process that runs, and not the one before this: where that one has written its record
-    /// just as this one declared itself, the file names it once more.
+    /// Whether that is another running process that is not the predecessor: the predecessor may have
+    /// written its record once more just after this process declared itself.
     fn is_successor(&self, process: ProcessId) -> bool {
         self.is_other_running(process) && self.predecessor.get() != Some(process)
     }
@@ -283,7 +288,8 @@
         process != self.own && process.is_running()
     }
 
-    /// Tells the decisions when another process begins to serve beside this one, and the log when it has gone, too.
+    /// Notifies the decisions when another process begins to serve alongside this one, and the log when it
+    /// has gone, too.
     fn observe_process(&self, process: ProcessId, driver: &Rc<Driver>) {
         match self.coexisting.get() {
             None if self.is_other_running(process) => {
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -29,7 +29,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::MissedTickBehavior;
-use wheelpath::policy::{Balancer, RequestClass, SettingsError, WatchUpdate};
+use wheelpath::policy::{Balancer, RequestClass, Settings, SettingsError, WatchUpdate};
 use wheelpath::settings_file::Names;
 
 /// Part of the memory that the bodies of open requests may take, and that the connections' buffers may.
@@ -46,7 +46,7 @@
 const SHUTDOWN_ANSWER_TIME: Duration = Duration::from_millis(400);
 /// ... and these failures are written in this time.
 const SHUTDOWN_WRITE_TIME: Duration = Duration::from_millis(100);
-/// No deadline of a class is taken for longer, in milliseconds.
+/// Upper bound for the deadline of a class, in milliseconds.
 const MAX_DEADLINE_MS: f64 = 1e6;
 
 /// Why the node does not start.
@@ -82,7 +82,8 @@
 /// The sockets that the node listens on.
 struct Sockets {
     clients: TcpListener,
-    /// Since when the clients' socket listens; none where it was inherited, and requests may have waited before.
+    /// Since when the clients' socket listens; none where it was inherited, and requests may have waited
+    /// before.
     listening_since: Option<Instant>,
     admin: Option<TcpListener>,
     peers: Option<Rc<PeerSocket>>,
@@ -163,7 +164,8 @@
 fn allot_resources(config: &Config, is_shared: bool) -> Resources {
     let processes = if is_shared { 2 } else { 1 };
     let memory = config.memory / processes;
-    // Descriptors beyond what the system allows are of no use: clients would take the last of them from all others.
+    // Descriptors beyond what the system allows are of no use: clients would take the last of them from all
+    // others.
     let system_limit = descriptors::system_limit().unwrap_or(usize::MAX);
     let sockets = (config.sockets / processes).min(system_limit);
     // Operators find a place whatever clients hold.
@@ -200,12 +202,7 @@
     ) -> Result<Node, StartupError> {
         let Resources { descriptors, buffer, body_memory } = resources;
         let settings = config.settings.clone();
-        let upstream = Upstream::new(
-            descriptors.clone(),
-            settings.connect_timeout_ms,
-            settings.idle_connection_timeout_ms,
-            buffer,
-        );
+        let upstream = open_upstream(&settings, descriptors.clone(), buffer);
         let guard = InvariantGuard::new(&settings);
         let balancer = Balancer::new(config.settings, config.seed)?;
         let (request_watch, watch_requests) = mpsc::unbounded_channel();
@@ -238,7 +235,8 @@
         let frontend =
             Frontend::new(driver.clone(), reader, max_open_requests, buffer, descriptors.clone());
         if let Some(listener) = sockets.admin {
-            let admin = AdminServer::new(driver.clone(), frontend.clone(), takeover.clone(), descriptors);
+            let takeover = takeover.clone();
+            let admin = AdminServer::new(driver.clone(), frontend.clone(), takeover, descriptors);
             spawn_local(admin.accept(listener));
         }
         log_start(&config.name, config.listen, config.admin_listen, &sockets.clients);
@@ -274,7 +272,13 @@
     log::line(&format!("{name} serves on {address}{admin}"));
 }
 
-/// Tells the decisions of the list that the node starts with; its version, if changes alone tell the rest.
+fn open_upstream(settings: &Settings, descriptors: Rc<Descriptors>, buffer: usize) -> Rc<Upstream> {
+    let connect_timeout_ms = settings.connect_timeout_ms;
+    Upstream::new(descriptors, connect_timeout_ms, settings.idle_connection_timeout_ms, buffer)
+}
+
+/// Reports to the decisions the list that the node starts with; its version, if changes alone tell the
+/// rest.
 fn report_known_list(driver: &Rc<Driver>, known: &Value, names: &Names) -> Option<u64> {
     let known = EndpointList::parse(known, names);
     let version = known.as_ref().and_then(EndpointList::base_version);
@@ -283,8 +287,8 @@
     version
 }
 
-/// Takes over from the process before this one, and starts the task that keeps in step with one beside it for as long as
-/// the node lives. True if the process before knew a newer list.
+/// Takes over from the process before this one, and starts the task that keeps in step with one alongside
+/// it for as long as the node lives. True if the process before knew a newer list.
 fn take_over(takeover: &Rc<Takeover>, driver: &Rc<Driver>) -> bool {
     let is_behind = takeover.take_over(driver);
     spawn_local(takeover.clone().run(driver.clone()));
--- a/src/node/system/accept_time.rs
+++ b/src/node/system/accept_time.rs
@@ -1,10 +1,11 @@
 //! Since when a connection's first bytes have waited, as the system noted it.
 //!
-//! A connection may wait in the queue of the listening socket: while this process is short of descriptors, or from before
-//! it started, where the platform holds the socket. Its client counts from when it sent.
+//! A connection may wait in the queue of the listening socket: while this process is short of descriptors,
+//! or from before it started, where the platform holds the socket. Its client counts from when it sent.
 //!
-//! The system notes the time by its wall clock. That may be stepped, and may not be the one that this process is shown, so
-//! the two are compared by a datagram of this process to itself, and no wait is taken for longer than the queue allows.
+//! The system notes the time by its wall clock. That may be stepped, and may not be the one that this
+//! process is shown, so the two are compared by a datagram of this process to itself, and no wait is taken
+//! for longer than the queue allows.
 
 use super::syscall_errors::is_interrupted;
 use nix::sys::socket::{ControlMessageOwned, MsgFlags, recvmsg, setsockopt, sockopt};
@@ -27,8 +28,8 @@
     let _ = setsockopt(listener, sockopt::ReceiveTimestampns, &true);
 }
 
-/// When the first byte that waits on a connection came; none where nothing waits, or it came just now. `at_most` is how
-/// long the connection may have waited, if that is known.
+/// When the first byte that waits on a connection came; none where nothing waits, or it came just now.
+/// `at_most` is how long the connection may have waited, if that is known.
 pub fn first_byte(stream: &TcpStream, at_most: Option<Duration>) -> Option<Instant> {
     if at_most.is_some_and(|most| most < MIN_WAIT) {
         return None;
@@ -39,8 +40,8 @@
     if waited < MIN_WAIT { None } else { Instant::now().checked_sub(waited) }
 }
 
-/// Now by the clock that the system notes times by, since 1970. Where the system does not say, for lack of a socket, the
-/// clock that this process is shown is nearly always the same.
+/// Now by the clock that the system notes times by, since 1970. Where the system does not say, for lack of
+/// a socket, the clock that this process is shown is nearly always the same.
 fn now_as_noted() -> Option<Duration> {
     let noted = (0..READ_ATTEMPTS).find_map(|_| own_datagram().ok().flatten());
     noted.or_else(|| SystemTime::now().duration_since(UNIX_EPOCH).ok())
--- a/src/node/system/acceptor.rs
+++ b/src/node/system/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, and tells what it means where that fails.
+//! Accepts connections, and classifies failures to do so.
 
 use super::syscall_errors::is_interrupted;
 use std::cell::Cell;
@@ -72,7 +72,8 @@
         }
     }
 
-    /// How long the connection that was accepted last may have waited in the queue; none where nobody can tell.
+    /// How long the connection that was accepted last may have waited in the queue; none where nobody can
+    /// tell.
     pub fn waited_at_most(&self) -> Option<Duration> {
         self.filled_since.get().map(|since| since.elapsed())
     }
@@ -82,7 +83,7 @@
         poll_fn(|cx| {
             let accepted = self.listener.poll_accept(cx);
             match &accepted {
-                // Before the first connection the poller has only not looked yet.
+                // Before the first connection the poller has not polled yet.
                 Poll::Pending => self.was_empty.set(self.has_accepted.get()),
                 Poll::Ready(_) if self.was_empty.take() => self.filled_since.set(Some(Instant::now())),
                 Poll::Ready(_) => {}
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Waits until the next accept is worth trying, after one that failed.
+    /// Waits until the next accept is worthwhile, after one that failed.
     pub async fn pause(&self, after: &AcceptError) {
         let is_worth_trying = matches!(after, AcceptError::Ended)
             && self.consecutive_failures.get() < MAX_FAILURES_WITHOUT_PAUSE;
--- a/src/node/system/clock.rs
+++ b/src/node/system/clock.rs
@@ -1,15 +1,17 @@
 //! The clock of the decisions, which is monotonic, and how moments of the wall clock are found on it.
 //!
-//! The wall clock may be stepped, forward or back. Other machines state moments by it, such as when an endpoint started, and
-//! these are needed as spans of real time. So the node keeps what the difference between the two clocks was, and when: a
-//! moment of the wall clock is looked up in the part of that history in which the wall clock showed it.
+//! The wall clock may be stepped, forward or back. Other machines state moments by it, such as when an
+//! endpoint started, and these are needed as spans of real time. So the node keeps what the difference
+//! between the two clocks was, and when: a time of the wall clock is converted by the part of that history
+//! in which the wall clock showed it.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// A smaller change of the difference is drift, or the time between the two readings.
 const MIN_STEP_MS: f64 = 100.0;
-/// Both clocks are read again where reading them took longer than this: the process may be held up in between.
+/// Both clocks are read again where reading them took longer than this: the process may be suspended in
+/// between.
 const MAX_READ_TIME: Duration = Duration::from_millis(5);
 const READ_ATTEMPTS: u32 = 4;
 /// Steps that are remembered. Earlier steps are older than any slow start.
@@ -22,7 +24,8 @@
     offset_ms: f64,
     /// From when on, on the monotonic clock.
     from_ms: f64,
-    /// Until when. Between two readings the step may have come at any time, so that two periods may overlap.
+    /// Until when. Between two readings the step may have come at any time, so that two periods may
+    /// overlap.
     until_ms: f64,
 }
 
@@ -51,7 +54,8 @@
         }
     }
 
-    /// When the wall clock showed `wall_ms`: where that was more than once, the last time. None if it never did.
+    /// When the wall clock showed `wall_ms`: where that was more than once, the last time. None if it never
+    /// did.
     fn find(&self, wall_ms: f64) -> Option<f64> {
         let shown = self.periods.iter().filter_map(|period| {
             let at_ms = wall_ms - period.offset_ms;
@@ -96,7 +100,8 @@
         self.start + Duration::from_secs_f64(((at_ms - self.start_ms) / 1000.0).clamp(0.0, 1e9))
     }
 
-    /// Notes a step of the wall clock, if there was one. To be called now and then, and before a moment is looked up.
+    /// Notes a step of the wall clock, if there was one. To be called now and then, and before a time is
+    /// converted.
     pub fn observe_wall(&self) {
         for _ in 0..READ_ATTEMPTS {
             let before = Instant::now();
@@ -108,7 +113,8 @@
         }
     }
 
-    /// When something happened that others state by the wall clock; now, if that clock has not shown this moment.
+    /// When something happened that others state by the wall clock; now, if that clock has not shown this
+    /// moment.
     pub fn wall_to_monotonic(&self, wall_ms: f64) -> f64 {
         self.observe_wall();
         let now_ms = self.now_ms();
--- a/src/node/system/connect.rs
+++ b/src/node/system/connect.rs
@@ -1,4 +1,4 @@
-//! Makes connections, and tells a failure of this machine from one of the other side.
+//! Makes connections, and distinguishes failures of this machine from those of the other side.
 
 use super::syscall_errors::{RETRY_PAUSE, is_interrupted, is_out_of_descriptors};
 use std::io;
@@ -47,8 +47,8 @@
     }
 }
 
-/// Makes the connect call. An error here comes from this machine, but for a refusal by a process of it, which loopback
-/// tells at once.
+/// Makes the connect call. An error here comes from this machine, but for a refusal by a process of it,
+/// which loopback reports at once.
 fn begin_connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = socket2::Socket::new(
         socket2::Domain::for_address(address),
--- a/src/node/system/descriptors.rs
+++ b/src/node/system/descriptors.rs
@@ -1,21 +1,22 @@
 //! How many descriptors the sockets of this process hold, against its limit.
 //!
-//! Clients, endpoints and discovery share one limit, and idle clients alone may fill it. So every socket takes a permit;
-//! where none is left something idle is closed for it, and some are kept for the node's own calls.
+//! Clients, endpoints and discovery share one limit, and idle clients alone may fill it. So every socket
+//! takes a permit; where none is left something idle is closed for it, and some are reserved for the node's
+//! own calls.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Descriptors kept for all that is not counted or does not wait: standard streams, the poller, the listener, UDP,
-/// discovery, the configuration read again, and a connection just accepted.
+/// Descriptors reserved for all that is not counted or does not wait: standard streams, the poller, the
+/// listener, UDP, discovery, the configuration read again, and a connection just accepted.
 const RESERVED_DESCRIPTORS: usize = 24;
 /// The count has at least so many, whatever the limit.
 const MIN_DESCRIPTORS: usize = 8;
 /// Clients may hold all but this part of them.
 const KEPT_FROM_CLIENTS_PART: usize = 3;
-/// A wait for a permit looks again so often: what was asked to close may have turned busy meanwhile.
+/// A wait for a permit looks again so often: what was asked to close may have become busy meanwhile.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Closes something idle. True if a descriptor was freed at once; false if none was, or it will be soon.
@@ -75,7 +76,8 @@
         self.idle_endpoint_connections.borrow().as_ref().is_some_and(|reclaim| reclaim())
     }
 
-    /// Closes something idle, also for when the system itself has run out. True if a descriptor was freed at once.
+    /// Closes something idle, also for when the system itself has run out. True if a descriptor was freed
+    /// at once.
     pub fn reclaim(&self) -> bool {
         self.reclaim_endpoint_connection() || self.reclaim_client()
     }
@@ -90,8 +92,9 @@
         self.take_own()
     }
 
-    /// Waits for a permit for a new client. Clients have two thirds of them, whoever they are: an attempt for one that is
-    /// there is better than one client more, and a connection to an endpoint costs more than a client's.
+    /// Waits for a permit for a new client. Clients have two thirds of them, whoever they are: an attempt
+    /// for one that is there is better than one client more, and a connection to an endpoint costs more
+    /// than a client's.
     pub async fn take_for_client(self: &Rc<Self>) -> DescriptorPermit {
         let max_clients = self.limit - self.limit / KEPT_FROM_CLIENTS_PART;
         loop {
--- a/src/node/system/length_headers.rs
+++ b/src/node/system/length_headers.rs
@@ -1,15 +1,15 @@
-//! Counts the header lines of request heads that tell a body's length.
+//! Counts the header lines of request heads that state a body's length.
 //!
-//! A request that tells its length in two ways may be meant to smuggle another past the node. hyper drops the length of a
-//! request that comes in chunks too, so the bytes themselves are looked through.
+//! A request that states its length in two ways may be meant to smuggle another past the node. hyper drops
+//! the length of a request that comes in chunks too, so the bytes themselves are scanned.
 
-/// The start of a header line that tells a body's length, in small letters.
+/// The start of a header line that states a body's length, in small letters.
 const CONTENT_LENGTH: &[u8] = b"content-length:";
 
-/// Looks through the bytes of a head as they come.
+/// Scans the bytes of a head as they come.
 #[derive(Clone, Copy, Default)]
 pub(super) struct LengthHeaderCounter {
-    /// Lines that told a length.
+    /// Content-Length lines.
     seen: u64,
     /// How much of the line has come that the last byte belongs to, without its end.
     line_bytes: usize,
@@ -27,12 +27,12 @@
         LengthHeaderCounter { seen: self.seen, ..LengthHeaderCounter::default() }
     }
 
-    /// Lines that told a length, in all heads.
+    /// Content-Length lines, in all heads.
     pub fn seen(self) -> u64 {
         self.seen
     }
 
-    /// Looks through what was read.
+    /// Scans what was read.
     pub fn record(&mut self, bytes: &[u8]) {
         for byte in bytes {
             if self.is_in_body {
--- a/src/node/system/mod.rs
+++ b/src/node/system/mod.rs
@@ -1,7 +1,8 @@
 //! The system underneath: clocks, signals, sockets, descriptors, and what errors of system calls mean.
 //!
-//! System calls fail in all the ways that Linux documents, and most of these failures concern this machine for a moment and
-//! nobody else. [`syscall_errors`] tells which; everything here that makes calls goes by that.
+//! System calls fail in all the ways that Linux documents, and most of these failures concern this machine
+//! for a moment and nobody else. [`syscall_errors`] tells which; everything here that makes calls goes by
+//! that.
 
 pub mod accept_time;
 pub mod acceptor;
--- a/src/node/system/signals.rs
+++ b/src/node/system/signals.rs
@@ -15,7 +15,7 @@
 /// How soon a signal is noticed whose byte was lost.
 const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One kind of signal. Several that come at once may be told as one.
+/// One kind of signal. Several that come at once may be reported as one.
 pub struct SignalReceiver {
     raised: Arc<AtomicBool>,
     wake: UnixStream,
--- a/src/node/system/socket.rs
+++ b/src/node/system/socket.rs
@@ -13,8 +13,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What the system may hold unsent of a streamed response, in bytes: a client at the slowest rate allowed takes as much in
-/// two seconds.
+/// What the system may hold unsent of a streamed response, in bytes: a client at the slowest rate allowed
+/// takes as much in two seconds.
 const MAX_UNSENT_BYTES: u32 = 128 * 1024;
 
 struct Inner {
@@ -69,7 +69,7 @@
         self.0.head_begun_at.get()
     }
 
-    /// How many header lines have told a length since heads were first expected.
+    /// How many Content-Length lines have come since heads were first expected.
     pub fn length_headers(&self) -> u64 {
         self.0.length_headers.get().map_or(0, LengthHeaderCounter::seen)
     }
@@ -98,10 +98,10 @@
         }
     }
 
-    /// Has the system hold little of what is written: however slow the other side takes it, that shows in what
-    /// can still be written. Otherwise megabytes wait there, and nothing moves here for many seconds.
+    /// Has the system hold little of what is written: however slow the other side takes it, that shows in
+    /// what can still be written. Otherwise megabytes wait there, and nothing moves here for many seconds.
     pub fn limit_unsent(&self) {
-        // Where the system refuses, a slow client is told from one that takes nothing less well.
+        // Where the system refuses, a slow client is harder to distinguish from a stalled one.
         let _ = socket2::SockRef::from(&self.0.stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES);
     }
 
@@ -111,8 +111,8 @@
         let _ = socket2::SockRef::from(&self.0.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// Waits until the other side has ended its sending or reset the connection, also where what it sent before that
-    /// is not read yet.
+    /// Waits until the other side has ended its sending or reset the connection, also where what it sent
+    /// before that is not read yet.
     pub async fn left(&self) {
         // What waits to be read does not end a wait for urgent data, and the end of reading does.
         match self.0.stream.ready(Interest::PRIORITY).await {
@@ -133,7 +133,7 @@
     }
 }
 
-/// The connection is intact, but the system has no room for the moment: the task comes back in its next turn.
+/// The connection is intact, but the system has no room for the moment: the task is polled again.
 fn try_later<T>(cx: &Context<'_>) -> Poll<T> {
     cx.waker().wake_by_ref();
     Poll::Pending
--- a/src/node/system/syscall_errors.rs
+++ b/src/node/system/syscall_errors.rs
@@ -29,7 +29,8 @@
     is_interrupted(error) || is_out_of_buffers(error) || lacks
 }
 
-/// Makes a call that the process cannot start without, again and again while the system cannot do it for the moment.
+/// Makes a call that the process cannot start without, again and again while the system cannot do it for
+/// the moment.
 ///
 /// # Errors
 /// The call failed for another reason, or for too long.
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -18,7 +18,7 @@
 use wheelpath::load_report_text;
 use wheelpath::policy::{AttemptOutcome, EndpointId, LoadReport};
 
-/// In which what the system holds is surely read.
+/// Time in which bytes that the system already holds are read.
 const LAST_READ_TIME: Duration = Duration::from_millis(1);
 
 /// One attempt: what is sent, where, and for how long it is waited for.
@@ -29,7 +29,8 @@
     pub address: SocketAddr,
     /// What to send.
     pub proxied: Rc<ProxiedRequest>,
-    /// When to stop waiting; where the body is streamed, that much later as its end comes after `begun_at`.
+    /// When to stop waiting. With a streamed body, this moves by the time from `begun_at` to the body's
+    /// end.
     pub until: Instant,
     /// Until when its first byte may go out.
     pub begin_by: Instant,
@@ -38,7 +39,7 @@
 }
 
 impl Attempt {
-    /// Waits for the end of the time that the attempt has.
+    /// Waits until the attempt's time is over.
     async fn overdue(&self) {
         let complete_at = self.proxied.body_complete().await;
         let delay = complete_at.map_or(Duration::ZERO, |at| at.saturating_duration_since(self.begun_at));
@@ -50,7 +51,7 @@
 pub struct UpstreamResponse {
     /// Its body.
     pub body: ResponseBody,
-    /// What kind of body that is, if told.
+    /// What kind of body that is, if known.
     pub content_type: Option<HeaderValue>,
 }
 
@@ -74,7 +75,7 @@
 pub enum AttemptEnd {
     /// It is over; a connection that may be kept comes back.
     Complete(AttemptResult, Option<UpstreamConnection>),
-    /// A streamed response has begun. Its end is told later, or not at all where the client leaves.
+    /// A streamed response has begun. Its end is reported later, or not at all where the client leaves.
     Streaming(AttemptResult, oneshot::Receiver<StreamEnd>),
 }
 
@@ -97,8 +98,8 @@
 }
 
 impl Upstream {
-    /// Sends one attempt and waits for its end, or for a streamed response's beginning. `still_wanted` says whether
-    /// request and endpoint still stand once there is a connection.
+    /// Sends one attempt and waits for its end, or for a streamed response's beginning. `still_wanted`
+    /// checks, once there is a connection, that the attempt may still begin.
     pub async fn attempt(
         &self,
         attempt: &Attempt,
@@ -110,8 +111,8 @@
             Ok(found) => found,
             Err(outcome) => return AttemptEnd::without_response(outcome),
         };
-        // The handshake took time: a drain reported meanwhile holds for this send too, and so does the end of the time in
-        // which a repeat has no second effect.
+        // Connecting took time: the endpoint may have been drained meanwhile, or the deduplication window
+        // may be over.
         match still_wanted() {
             Ok(()) => {}
             // The request may go elsewhere.
@@ -122,31 +123,29 @@
         }
         let before = Carried::by(&connection);
         let received = exchange(attempt, &mut connection).await;
-        // Silence tells nothing of the connection.
+        // Silence says nothing about the connection.
         if let Some(received) = &received {
             let is_broken = matches!(received, Err(ExchangeError::Broken(_)));
             self.record_use(idle_for, is_broken && connection.socket.read() == before.read);
         }
-        match received {
-            Some(Ok(ReceivedResponse { head, first, rest: None })) => {
-                AttemptEnd::Complete(result_of(&head, ResponseBody::whole(first)), Some(connection))
+        let error = match received {
+            Some(Ok(response)) => return end_of_response(response, connection),
+            Some(Err(error)) => error,
+            None => {
+                let outcome = outcome_of_silence(attempt, &connection, &before);
+                return AttemptEnd::without_response(outcome);
             }
-            Some(Ok(ReceivedResponse { head, first, rest: Some(rest) })) => {
-                begin_stream(connection, &head, first, rest)
-            }
-            Some(Err(error)) => {
-                let outcome = outcome_of_error(attempt, &connection, &before, &error);
-                if outcome == AttemptOutcome::ConnectionReset {
-                    self.close_idle(endpoint);
-                }
-                AttemptEnd::without_response(outcome)
-            }
-            None => AttemptEnd::without_response(outcome_of_silence(attempt, &connection, &before)),
+        };
+        let outcome = outcome_of_error(attempt, &connection, &before, &error);
+        if outcome == AttemptOutcome::ConnectionReset {
+            self.close_idle(endpoint);
         }
+        AttemptEnd::without_response(outcome)
     }
 }
 
-/// Sends the request and waits for the response, until the attempt is overdue or the request's body stalls; none then.
+/// Sends the request and waits for the response, until the attempt is overdue or the request's body stalls;
+/// none then.
 async fn exchange(
     attempt: &Attempt,
     connection: &mut UpstreamConnection,
@@ -156,7 +155,7 @@
     let socket = connection.socket.clone();
     let overdue = async {
         attempt.overdue().await;
-        // What the system has by then was in time, however late this node has its turn: it is read in the next.
+        // Bytes that the system has by then came in time, even if this task is polled late.
         if !socket.quiet() {
             tokio::time::sleep(LAST_READ_TIME).await;
         }
@@ -210,11 +209,19 @@
     }
 }
 
-/// A long response: it goes on to the client as it comes.
+/// A buffered response ends the attempt; a longer one is streamed to the client.
+fn end_of_response(response: ReceivedResponse, connection: UpstreamConnection) -> AttemptEnd {
+    let ReceivedResponse { head, first, rest } = response;
+    match rest {
+        None => AttemptEnd::Complete(result_of(&head, ResponseBody::buffered(first)), Some(connection)),
+        Some(rest) => begin_stream(connection, &head, first, rest),
+    }
+}
+
 fn begin_stream(connection: UpstreamConnection, head: &Parts, first: Bytes, rest: Incoming) -> AttemptEnd {
     if head.status != StatusCode::OK {
         // Nobody wants the rest of it.
-        return AttemptEnd::Complete(result_of(head, ResponseBody::Whole(None)), None);
+        return AttemptEnd::Complete(result_of(head, ResponseBody::Buffered(None)), None);
     }
     let (body, end) = StreamedResponseBody::new(connection, first, rest);
     AttemptEnd::Streaming(result_of(head, ResponseBody::Streamed(Box::new(body))), end)
--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -63,8 +63,8 @@
 
 type HttpConnection = Pin<Box<Connection<TokioIo<Socket>, UpstreamBody>>>;
 
-/// A connection whose reading and writing happen only while somebody exchanges on it: nothing is left running behind an
-/// idle one, and dropping it closes the socket at once.
+/// A connection whose reading and writing happen only while somebody exchanges on it: nothing is left
+/// running behind an idle one, and dropping it closes the socket at once.
 pub struct UpstreamConnection {
     sender: SendRequest<UpstreamBody>,
     connection: Option<HttpConnection>,
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Lets the connection read and write what it can. At the end of a response it sees that it is ready for the next, or
-    /// that more came than belongs to it.
+    /// Lets the connection read and write what it can. At the end of a response it sees that it is ready
+    /// for the next, or that more came than belongs to it.
     pub(super) fn turn(&mut self, cx: &mut Context<'_>) {
         UpstreamConnection::poll(&mut self.connection, cx);
     }
@@ -169,8 +169,8 @@
         Ok(FirstPart { bytes: buffered.freeze(), is_whole: true })
     }
 
-    /// Sends one request and reads its whole response, with a body of `max_body` bytes at most, which is there within
-    /// `body_timeout` after the head.
+    /// Sends one request and reads its whole response, with a body of `max_body` bytes at most, which is
+    /// there within `body_timeout` after the head.
     ///
     /// # Errors
     /// The connection broke, or what came is no whole response.
@@ -206,8 +206,8 @@
     }
 }
 
-/// Whether the end of a response can be told: by a length within the limit, or chunks, or the connection's end, and not
-/// both of the first.
+/// Whether the end of a response is recognizable: by a length within the limit, or chunks, or the
+/// connection's end, and not both of the first.
 fn check_framing(headers: &HeaderMap, body: &Incoming, max_body: usize) -> Result<(), ExchangeError> {
     let has_both = headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH);
     let is_framed = !has_both || body.size_hint().exact() == Some(0);
--- a/src/node/upstream/idle_age.rs
+++ b/src/node/upstream/idle_age.rs
@@ -1,13 +1,15 @@
 //! Up to what age idle connections are good, learned from what became of requests on them.
 //!
-//! An endpoint, or something on the way to it, may drop idle connections sooner than the settings say and without a word:
-//! what is written on one is reset unread, and a request that may not be repeated is lost. Counted by age, such an age
-//! shows, also one that changes, since evidence fades; one that few endpoints have is taken for all. It costs a handshake
-//! for each connection that is not used again, so the limit of this rule are connections that break for another reason.
+//! An endpoint, or something on the way to it, may drop idle connections sooner than the settings say and
+//! without a word: what is written on one is reset unread, and a request that may not be repeated is lost.
+//! Counted by age, such an age shows, also one that changes, since evidence fades; one that few endpoints
+//! have is taken for all. It costs a handshake for each connection that is not used again, so the rule
+//! wastes handshakes where connections break for another reason.
 
 use std::time::{Duration, Instant};
 
-/// Age classes: one for new connections, then two for each doubling from the youngest age that is told apart.
+/// Age classes: one for new connections, then two for each doubling from the youngest age that is told
+/// apart.
 const STEPS: usize = 24;
 const YOUNGEST_MS: f64 = 10.0;
 /// Evidence is half as much after this.
@@ -55,7 +57,8 @@
         Duration::from_secs_f64(YOUNGEST_MS / 1000.0 * ((step as f64 - 1.0) / 2.0).exp2())
     }
 
-    /// Takes in a request on a connection that was idle for `age` before, none for a new one, and whether it broke.
+    /// Takes in a request on a connection that was idle for `age` before, none for a new one, and whether
+    /// it broke.
     pub fn record(&mut self, age: Option<Duration>, broke: bool) {
         self.fade();
         if let Some(usage) = self.by_age.get_mut(age.map_or(0, IdleAgeStatistics::step)) {
@@ -72,8 +75,8 @@
         }
     }
 
-    /// The age from which on connections are not good: of some step, and of all older ones together, more break than of
-    /// what is younger. None where all are good.
+    /// The age from which on connections are not good: of some step, and of all older ones together, more
+    /// break than of what is younger. None where all are good.
     pub fn limit(&self) -> Option<Duration> {
         let mut total = Usage::default();
         self.by_age.iter().for_each(|usage| total.add(*usage));
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -11,13 +11,13 @@
 use std::time::{Duration, Instant};
 use wheelpath::policy::{AttemptOutcome, EndpointId};
 
-/// An idle connection is dropped after this part of the time at which its endpoint drops it: a request that crosses the
-/// endpoint's close may have run, and one that may not be repeated is then lost.
+/// An idle connection is closed after this part of the time after which its endpoint closes it: a request
+/// that crosses the endpoint's close may have run, and one that may not be repeated is then lost.
 const IDLE_TIMEOUT_PART: f64 = 0.7;
-/// What comes right behind a response is no response to the next request: a connection is used again only once it has been
-/// quiet for so long.
+/// Bytes that come right behind a response would be taken for the response to the next request, so a
+/// connection is reused only after it has been quiet for this time.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
-/// No time-out of the settings is taken for longer, in milliseconds.
+/// Upper bound for timeouts of the settings, in milliseconds.
 const MAX_TIMEOUT_MS: f64 = 86_400_000.0;
 
 struct IdleConnection {
@@ -32,7 +32,7 @@
     pub idle_for: Option<Duration>,
 }
 
-/// Where and by when a connection is wanted.
+/// To which endpoint, and by when, a connection is needed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectionRequest {
     pub endpoint: EndpointId,
@@ -82,8 +82,9 @@
 
     /// Closes the connections to an endpoint that carry nothing.
     ///
-    /// Not only where the decisions ask for it: an endpoint that broke a connection may have been away. What was open to
-    /// it before is reset as soon as something is sent on it, and a request that may not be repeated would be lost.
+    /// Also used after an endpoint broke a connection: it may have restarted. Its other connections are
+    /// then reset as soon as something is sent on them, and a request that may not be repeated would be
+    /// lost.
     pub fn close_idle(&self, endpoint: EndpointId) {
         let closed = self.idle.borrow_mut().remove(&endpoint);
         drop(closed);
@@ -108,7 +109,7 @@
         self.idle_ages.borrow_mut().record(idle_for, broke);
     }
 
-    /// Closes what has been idle for long and what endpoints have closed.
+    /// Closes connections that have been idle for too long or that endpoints have closed.
     pub fn sweep(&self) {
         let limit = self.idle_limit();
         self.idle.borrow_mut().retain(|_, connections| {
@@ -138,8 +139,8 @@
     /// An idle connection to an endpoint, or a new one in time for an attempt.
     ///
     /// # Errors
-    /// How the attempt ended. Where this node itself has no descriptor for a connection, or it comes up too late to
-    /// begin, that is not sent: a failed connection would blame the endpoints, and all of them would be taken for dead.
+    /// The outcome of the attempt. If this node has no descriptor for a connection, or the connection is
+    /// made too late to begin, the outcome is `NotSent`: `ConnectFailed` would count against the endpoints.
     pub(super) async fn connection(
         &self,
         wanted: ConnectionRequest,
--- a/src/node/upstream/request_body.rs
+++ b/src/node/upstream/request_body.rs
@@ -1,4 +1,4 @@
-//! A client's request on its way to an endpoint, with a body that is whole or streamed.
+//! A client's request on its way to an endpoint, with a body that is buffered or streamed.
 
 use super::{BodyError, MAX_BODY};
 use crate::headers;
@@ -14,9 +14,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 
-/// A body slower than this is cut, in bytes a second. Clients are known to send 64 kB a second.
+/// Minimum rate of a body, in bytes a second. The slowest legitimate clients send 64 kB a second.
 const MIN_BYTES_PER_SECOND: f64 = 48_000.0;
-/// Added to the time that this allows, and the longest between two pieces.
+/// Grace on top of the time that this rate allows, and the longest pause between two pieces.
 const RATE_GRACE: Duration = Duration::from_secs(2);
 
 /// What a client asked, to be sent on unchanged.
@@ -36,7 +36,7 @@
 /// The body of a client's request.
 pub enum RequestBody {
     /// All of it is here, and can be sent again.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// More comes from the client.
     Streamed(Rc<StreamedRequestBody>),
 }
@@ -49,7 +49,7 @@
 
     fn streamed_body(&self) -> Option<&Rc<StreamedRequestBody>> {
         match &self.body {
-            RequestBody::Whole(_) => None,
+            RequestBody::Buffered(_) => None,
             RequestBody::Streamed(body) => Some(body),
         }
     }
@@ -59,7 +59,8 @@
         self.streamed_body().is_none_or(|body| !body.is_spent.get() && !body.is_broken.get())
     }
 
-    /// Waits until the whole request has gone on, and says when that was; none where it was here from the start.
+    /// Waits until the complete request has been passed on, and returns when that was; none for a buffered
+    /// body.
     pub async fn body_complete(&self) -> Option<Instant> {
         match self.streamed_body() {
             None => None,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Waits for a streamed body to come to a standstill; for good where there is none.
+    /// Waits until a streamed body stalls; forever if there is no streamed body.
     pub(super) async fn body_stalled(&self) {
         match self.streamed_body() {
             None => std::future::pending().await,
@@ -99,8 +100,8 @@
 
     fn upstream_body(&self) -> UpstreamBody {
         match &self.body {
-            RequestBody::Whole(body) => {
-                UpstreamBody::Whole(Some(body.clone()).filter(|body| !body.is_empty()))
+            RequestBody::Buffered(body) => {
+                UpstreamBody::Buffered(Some(body.clone()).filter(|body| !body.is_empty()))
             }
             RequestBody::Streamed(body) => UpstreamBody::Streamed(body.clone(), Some(body.first.clone())),
         }
@@ -119,15 +120,15 @@
         MinimumRate { begun_at }
     }
 
-    /// When a body is too slow of which so many bytes have come, the last of them at `moved_at`.
+    /// When a body counts as too slow of which `bytes` have come, the last of them at `moved_at`.
     pub fn deadline(&self, bytes: u64, moved_at: Instant) -> Instant {
         let earned = Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_SECOND);
         (self.begun_at + earned).min(moved_at) + RATE_GRACE
     }
 }
 
-/// A long body on its way from a client to an endpoint. What is passed on is not kept: past its first part there is no
-/// sending it again.
+/// A long body on its way from a client to an endpoint. Bytes that were passed on are not kept, so after
+/// its first part the request cannot be sent again.
 pub struct StreamedRequestBody {
     first: Bytes,
     rest: RefCell<Incoming>,
@@ -135,7 +136,7 @@
     rate: MinimumRate,
     passed_bytes: Cell<u64>,
     moved_at: Cell<Instant>,
-    /// Something went out that is kept nowhere.
+    /// Bytes have been passed on that are not kept.
     is_spent: Cell<bool>,
     /// The client's side of it ended before the body did.
     is_broken: Cell<bool>,
@@ -144,7 +145,7 @@
 }
 
 impl StreamedRequestBody {
-    /// A body of which `first` has been read and `rest` comes; `length` is that of all, if told.
+    /// A body of which `first` has been read and `rest` comes; `length` is that of all, if known.
     pub fn new(
         first: Bytes,
         rest: Incoming,
@@ -236,16 +237,16 @@
 
 /// A request's body on a connection to an endpoint.
 pub enum UpstreamBody {
-    /// What is left of a whole one.
-    Whole(Option<Bytes>),
-    /// One that is passed on, with its first part if that is still to be sent.
+    /// What is left to send of a buffered body.
+    Buffered(Option<Bytes>),
+    /// A streamed body, with its first part if that is still to be sent.
     Streamed(Rc<StreamedRequestBody>, Option<Bytes>),
 }
 
 impl UpstreamBody {
     /// No body.
     pub fn empty() -> UpstreamBody {
-        UpstreamBody::Whole(None)
+        UpstreamBody::Buffered(None)
     }
 }
 
@@ -258,7 +259,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let (body, first) = match &mut *self {
-            UpstreamBody::Whole(bytes) => {
+            UpstreamBody::Buffered(bytes) => {
                 return Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))));
             }
             UpstreamBody::Streamed(body, first) => (body, first),
@@ -272,14 +273,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            UpstreamBody::Whole(bytes) => bytes.is_none(),
+            UpstreamBody::Buffered(bytes) => bytes.is_none(),
             UpstreamBody::Streamed(body, first) => first.is_none() && body.completed_at.get().is_some(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            UpstreamBody::Whole(bytes) => {
+            UpstreamBody::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             UpstreamBody::Streamed(body, _) => body.length.map_or_else(SizeHint::new, SizeHint::with_exact),
--- a/src/node/upstream/response_body.rs
+++ b/src/node/upstream/response_body.rs
@@ -13,7 +13,8 @@
 use tokio::time::Sleep;
 use wheelpath::policy::AttemptOutcome;
 
-/// A streamed response on which nothing moves for so long is given up. Endpoints stand still for half a second at times.
+/// A streamed response on which nothing moves for so long is given up. Endpoints stand still for half a
+/// second at times.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How a streamed response ended, with its connection if that can be kept.
@@ -21,8 +22,8 @@
 
 /// The body of a response that goes to the client.
 pub enum ResponseBody {
-    /// What is left of a whole one.
-    Whole(Option<Bytes>),
+    /// What is left to send of a buffered body.
+    Buffered(Option<Bytes>),
     /// One that is passed on as it comes.
     Streamed(Box<StreamedResponseBody>),
 }
@@ -42,7 +43,8 @@
 }
 
 impl StreamedResponseBody {
-    /// A body of which `first` has been read and `rest` comes on a connection; and what tells how it ended.
+    /// A body of which `first` has been read and `rest` comes on a connection; and what reports how it
+    /// ended.
     pub(super) fn new(
         connection: UpstreamConnection,
         first: Bytes,
@@ -141,9 +143,9 @@
 }
 
 impl ResponseBody {
-    /// A whole body.
-    pub fn whole(bytes: Bytes) -> ResponseBody {
-        ResponseBody::Whole(Some(bytes).filter(|bytes| !bytes.is_empty()))
+    /// A body that is here.
+    pub fn buffered(bytes: Bytes) -> ResponseBody {
+        ResponseBody::Buffered(Some(bytes).filter(|bytes| !bytes.is_empty()))
     }
 
     /// More of it is to come.
@@ -151,7 +153,8 @@
         matches!(self, ResponseBody::Streamed(_))
     }
 
-    /// Keeps `held` until a streamed response has ended; drops it at once where there is nothing to wait for.
+    /// Keeps `held` until a streamed response has ended; drops it at once where there is nothing to wait
+    /// for.
     pub fn hold(&mut self, held: impl Any) {
         if let ResponseBody::Streamed(body) = self {
             body.held = Some(Box::new(held));
@@ -168,7 +171,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut *self {
-            ResponseBody::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            ResponseBody::Buffered(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             ResponseBody::Streamed(body) => {
                 body.poll_piece(cx).map(|next| next.map(|piece| piece.map(Frame::data)))
             }
@@ -176,12 +179,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, ResponseBody::Whole(None))
+        matches!(self, ResponseBody::Buffered(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            ResponseBody::Whole(bytes) => {
+            ResponseBody::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             ResponseBody::Streamed(body) => body.length.map_or_else(SizeHint::new, |length| {
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -19,7 +19,8 @@
     DeadlineTooClose,
     /// An attempt may have run, and the class allows no repeat.
     NotRetryable,
-    /// Attempts failed, and the retry budget, the latency objective or the way the last one ended allows no further.
+    /// Attempts failed, and the retry budget, the latency objective or the way the last one ended allows no
+    /// further.
     RetryBudgetExhausted,
 }
 
@@ -60,8 +61,8 @@
         endpoint: EndpointId,
         /// How long to wait for the answer, in milliseconds.
         timeout_ms: f64,
-        /// How soon its first byte must be written, in milliseconds: later, the endpoint may have forgotten an earlier
-        /// attempt. Infinite where that does not matter.
+        /// How soon its first byte must be written, in milliseconds: later, the endpoint may have forgotten
+        /// an earlier attempt. Infinite where that does not matter.
         begin_within_ms: f64,
     },
     /// Stop waiting for an attempt.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,48 +1,53 @@
 //! Which requests are admitted when there are more than the endpoints can serve in time.
 //!
-//! Under overload everything is late and nothing of value, unless part of the requests is shed. Each node estimates the
-//! overload of the fleet from its own outcomes and from reported utilization, and moves an admission level: the part
-//! of the offered work that is let in. The level is filled by priority weight, so that what is worth least is shed
-//! first. A limit on the requests in flight at all endpoints together backs that up between two runs of housekeeping.
+//! Under overload everything is late and nothing of value, unless part of the requests is shed. Each node
+//! estimates the overload of the fleet from its own outcomes and from reported utilization, and moves an
+//! admission level: the part of the offered work that is let in. The level is filled by priority weight, so
+//! that what has the lowest value is shed first. A limit on the requests in flight at all endpoints
+//! together backs that up between two runs of housekeeping.
 
 use super::action::RejectionReason;
 use super::class_statistics::ClassStatistics;
 use super::concurrency_limit::TARGET_OVERLOAD;
 use super::settings::{LoadReporting, Settings};
 
-/// Mean reported utilization from which a fleet is taken for full, at first and at least.
+/// Mean reported utilization from which the fleet counts as full: the initial value and the minimum.
 const MIN_FULL_UTILIZATION: f64 = 0.85;
-/// How fast that is learned to be higher or lower, a second.
+/// How fast the learned value moves up or down, per second.
 const FULL_UTILIZATION_STEP: f64 = 0.03;
-/// Outcomes that count as much as the absence of any: few are little evidence, and a node that admits next to nothing
-/// must not hold on to the overload that made it so.
+/// Prior weight of "no overload", in outcomes. With few outcomes the estimate shrinks towards none, so that
+/// a node which admits almost nothing recovers.
 const PRIOR_OUTCOMES: f64 = 2.0;
 /// Evidence fades to a third in this time, in seconds, so that small nodes still have some.
 const EVIDENCE_MEMORY_SECONDS: f64 = 0.5;
 /// Offered work fades to a third in this time, in seconds.
 const OFFERED_MEMORY_SECONDS: f64 = 2.0;
-/// Where all nodes together hold fewer requests an endpoint than this, what is late is so by a fault, which shedding does
-/// not mend: overload counts in proportion. The limit of this rule are endpoints for which two are too many.
+/// Below this many requests in flight per endpoint, over all nodes, lateness is caused by a fault, which
+/// shedding does not cure, and overload counts only in proportion. Does not fit endpoints for which two
+/// requests at once are too many.
 const FULL_WEIGHT_IN_FLIGHT: f64 = 2.0;
-/// The admission level and its pace, a second: down by the overload beyond the target, up by a base and in proportion.
+/// The lowest admission level, and the pace of the level per second: it falls by the overload beyond the
+/// target and rises by a base plus a proportional part.
 const MIN_LEVEL: f64 = 0.02;
 const LEVEL_FALL: f64 = 2.0;
 const LEVEL_RISE_BASE: f64 = 0.05;
 const LEVEL_RISE: f64 = 0.5;
-/// The in-flight limit grows by this part a second while it is hit without overload.
+/// Growth of the in-flight limit per second while it is reached without overload.
 const IN_FLIGHT_GROWTH: f64 = 0.2;
-/// Requests in flight at an endpoint, of all nodes together, that none is taken to be too small for.
+/// Initial in-flight limit per endpoint, over all nodes: no endpoint is assumed to be too small for it.
 const FIRST_IN_FLIGHT_PER_ENDPOINT: f64 = 4.0;
-/// Deviations that chance may exceed the in-flight limit by, where that is a few requests.
+/// Standard deviations that are added to the in-flight limit, because chance alone exceeds a limit of a few
+/// requests.
 const IN_FLIGHT_DEVIATIONS: f64 = 3.0;
-/// Part of the in-flight limit that is closed to what is worth least.
+/// Part of the in-flight limit that the requests of lowest value may not use.
 const RESERVED_FOR_WORTHIER: f64 = 0.3;
-/// A class counts as worst-served within this of the lowest share.
+/// A class whose served share is within this of the lowest counts, in part, as the worst-served.
 const WORST_CLASS_MARGIN: f64 = 0.05;
-/// Divisors are no less than this.
+/// Smallest divisor, against division by zero.
 const TINY: f64 = 1e-9;
 
-/// How old a request's client lets it be: within its latency objective, or beyond.
+/// Whether a request can still be answered within its latency objective, counted from its client's first
+/// try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Freshness {
     /// An answer can still come within the objective.
@@ -146,21 +151,22 @@
         self.overload
     }
 
-    /// Takes in the outcome of a request of this value: how overloaded it shows its endpoint, 0 to 1.
+    /// Records the outcome of a request of this value; `overload` is how overloaded the outcome shows its
+    /// endpoint to be, 0 to 1.
     pub fn record_outcome(&mut self, weight: f64, overload: f64) {
         self.evidence.good += weight * (1.0 - overload);
         self.evidence.bad += weight * overload;
         self.evidence.outcomes += 1.0;
     }
 
-    /// Takes in a request of this value that found no usable endpoint. That is overload too, as far as endpoints are
-    /// blocked at large: admission has to shed what is worth least, not chance.
+    /// Records a request of this value that found no usable endpoint. To the extent that endpoints are
+    /// blocked across the fleet this is overload too, so that requests are shed by value and not by chance.
     pub fn record_no_usable_endpoint(&mut self, weight: f64) {
         self.evidence.bad += weight * self.blocked_share;
         self.evidence.outcomes += self.blocked_share;
     }
 
-    /// Whether a request is admitted, and why not. A request of a class that is not known is.
+    /// Decides whether a request is admitted. A request of an unknown class is admitted.
     ///
     /// # Errors
     /// The reason for which it is rejected.
@@ -202,7 +208,8 @@
         (limit + IN_FLIGHT_DEVIATIONS * limit.sqrt()).max(1.0)
     }
 
-    /// Housekeeping, `seconds` after the last: estimates the overload anew and sets the chances of being admitted.
+    /// Housekeeping, `seconds` after the last: estimates the overload anew and sets the chances of being
+    /// admitted.
     pub fn update(
         &mut self,
         seconds: f64,
@@ -229,8 +236,9 @@
         self.overload *= (per_endpoint / FULL_WEIGHT_IN_FLIGHT).min(1.0);
     }
 
-    /// Reports show the fleet filling up before answers come late, and endpoints that are too full for some seconds slow
-    /// down for long. Where a full fleet still answers well within the objective, that much is learned to be fine.
+    /// Load reports show the fleet filling up before answers are late, and endpoints that are too full for
+    /// some seconds stay slow for long. If a fleet that counts as full still answers well within its
+    /// objectives, the threshold is raised.
     fn learn_full_utilization(&mut self, seconds: f64, utilization: f64) {
         if utilization > self.full_utilization && self.overload < TARGET_OVERLOAD {
             self.full_utilization += FULL_UTILIZATION_STEP * seconds;
@@ -259,7 +267,7 @@
         self.in_flight_limit_hit = false;
     }
 
-    /// All strata, what gains most for its work first.
+    /// All strata, ordered by the value gained per unit of work, highest first.
     fn by_worth(&self, settings: &Settings, classes: &[ClassStatistics]) -> Vec<RankedStratum> {
         let weights = settings.objective_weights;
         let lowest_served = classes.iter().map(ClassStatistics::served_share).fold(1.0, f64::min);
@@ -287,7 +295,7 @@
         ranked
     }
 
-    /// Fills the admission level in order of worth, and lets the offered work fade.
+    /// Distributes the admission level over the strata in that order, and decays the offered work.
     fn assign_chances(&mut self, ranked: &[RankedStratum], seconds: f64) {
         let kept = (-seconds / OFFERED_MEMORY_SECONDS).exp();
         let offered = |strata: &[Stratum; 2]| strata[0].offered_ms + strata[1].offered_ms;
@@ -305,7 +313,7 @@
     }
 }
 
-/// A stratum and what admitting it gains, for each unit of its work.
+/// A stratum and the value gained by admitting it, per unit of work.
 #[derive(Clone, Copy, Debug)]
 struct RankedStratum {
     worth: f64,
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -27,8 +27,8 @@
 const POLL_TIMER: u64 = 2;
 /// Time between two runs of housekeeping is taken for no less than this, in seconds.
 const MIN_HOUSEKEEPING_SECONDS: f64 = 1e-3;
-/// One run of housekeeping moves admission by no more than this time, in seconds: after a stall of the node itself it must
-/// not open or shut at once.
+/// One run of housekeeping moves admission by no more than this time, in seconds: after a stall of the node
+/// itself it must not open or shut at once.
 const MAX_ADMISSION_STEP_SECONDS: f64 = 1.0;
 
 /// The decisions of one node: takes events, answers with actions. The crate's page has an example.
@@ -86,7 +86,8 @@
         })
     }
 
-    /// Takes one event that happened at `now_ms` on the balancer's clock, and adds what is to be done to `actions`.
+    /// Takes one event that happened at `now_ms` on the balancer's clock, and adds what is to be done to
+    /// `actions`.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => self.on_start(now_ms, actions),
