--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -1,12 +1,12 @@
-//! What a node learns of each request class: how long answers take, how many are served, and how much time clients
-//! give.
+//! What a node learns of each request class: how long answers take, how many are served, and how much time
+//! clients give.
 
-/// Answers from which on the estimates are relied on.
+/// Number of answers from which the estimates are used.
 const MIN_ANSWERS: u64 = 20;
-/// How far an estimate moves towards one answer, once there are enough.
+/// Weight of one answer in the moving averages, once there are enough.
 const STEP: f64 = 0.02;
-/// The upper quantile rises by this factor with an answer above it and falls by the other with one below, which makes
-/// it the time that four of five answers stay below.
+/// The upper quantile rises by this factor with an answer above it and falls by the other with one below,
+/// which makes it the time that four of five answers stay below.
 const QUANTILE_RISE: f64 = 1.02;
 const QUANTILE_FALL: f64 = 0.995;
 /// The time in quiet periods follows the upper quantile down at once, and up by this part a second.
@@ -15,22 +15,22 @@
 const SERVED_MEMORY_SECONDS: f64 = 20.0;
 /// How far the failure share moves towards one outcome.
 const FAILURE_STEP: f64 = 0.05;
-/// Waiting times that clients give are counted by hundredths of the class's deadline.
+/// Client deadlines are counted in bins of one hundredth of the class's deadline.
 const WAIT_BINS: usize = 101;
-/// Counts of them fade by this with each first try.
+/// Decay of these counts with each first try.
 const WAIT_DECAY: f64 = 0.998;
-/// Without so many tries in the fullest bin nothing is known of usual waiting times.
+/// With fewer tries in the fullest bin, the usual client deadlines are unknown.
 const MIN_WAIT_EVIDENCE: f64 = 8.0;
-/// A waiting time is usual if bins this near hold more than a part of the fullest one: half of it, or a small part where
-/// clients mark their retries.
+/// A client deadline is usual if the bins this near to it hold more than a part of the fullest bin: half of
+/// it, or a small part if clients mark their retries.
 const WAIT_NEIGHBOURS: usize = 2;
 const USUAL_PART: f64 = 0.5;
 const USUAL_PART_WITH_MARKS: f64 = 0.05;
-/// A client's deadline is short if an answer that takes this many deviations more than the mean misses it ...
+/// A client deadline is short if it is less than the mean answer time plus this many deviations ...
 const SHORT_DEADLINE_DEVIATIONS: f64 = 2.0;
-/// ... and it is less than this part of the objective.
+/// ... and less than this part of the latency objective.
 const SHORT_DEADLINE_PART: f64 = 0.5;
-/// n, the short attempt timeout, leaves this many deviations above the mean.
+/// n, the short attempt timeout, is the mean plus this many deviations.
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
 /// A mean is taken for no less than this, in milliseconds.
 const MIN_MEAN_MS: f64 = 1.0;
@@ -47,21 +47,22 @@
     upper_quantile_ms: f64,
     /// The same in quiet periods.
     quiet_quantile_ms: f64,
-    /// How often clients gave first tries each hundredth of the deadline.
+    /// How often first tries came with a client deadline of each hundredth of the class's deadline.
     waits: Vec<f64>,
     requested: f64,
     served: f64,
-    /// Share of recent attempts, over all endpoints, that were turned away, late or lost.
+    /// Share of recent attempts, over all endpoints, that were rejected, late or lost.
     failure_share: f64,
 }
 
 impl ClassStatistics {
     /// Estimates the time that a client has spent on earlier tries, in milliseconds.
     ///
-    /// First tries come with usual waiting times. A try with an unusual one is a later try, whose end shows when the
-    /// first began. Where clients mark retries (`is_retry` is told) a first try may come with any waiting time, and
-    /// a retry counts as young if some first tries come with the same one. The limit of this rule are clients with
-    /// short deadlines whose retries have what is left of more.
+    /// Most first tries come with one of a few client deadlines. A try with an unusual deadline is taken
+    /// for a later try, whose deadline shows when the first began. If clients mark their retries
+    /// (`is_retry` is given), a first try may come with any deadline, and a retry counts as young if some
+    /// first tries come with the same one. Misjudges clients with short deadlines whose retries have the
+    /// rest of a longer one.
     pub fn estimate_client_age_ms(
         &mut self,
         wait_ms: f64,
@@ -83,7 +84,7 @@
         if is_retry == Some(false) || is_usual { 0.0 } else { (deadline_ms - wait_ms).max(0.0) }
     }
 
-    /// Takes in how long an answer took, in milliseconds.
+    /// Records how long an answer took, in milliseconds.
     pub fn record_answer(&mut self, elapsed_ms: f64) {
         let step = if self.answers < MIN_ANSWERS { 1.0 / (self.answers as f64 + 1.0) } else { STEP };
         self.answers += 1;
@@ -121,7 +122,7 @@
         self.quiet_quantile_ms = risen.min(self.upper_quantile_ms);
     }
 
-    /// Share of recent attempts, over all endpoints, that were turned away, late or lost.
+    /// Share of recent attempts, over all endpoints, that were rejected, late or lost.
     pub fn failure_share(&self) -> f64 {
         self.failure_share
     }
@@ -146,7 +147,7 @@
         self.quiet_quantile_ms
     }
 
-    /// Whether a client allows too little time for its silence to say anything of an endpoint.
+    /// Whether a client deadline is so short that a timeout says nothing about the endpoint.
     pub fn is_short_deadline(&self, allowed_ms: f64, latency_objective_ms: f64) -> bool {
         allowed_ms < latency_objective_ms * SHORT_DEADLINE_PART
             && self.answers >= MIN_ANSWERS
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,7 +1,7 @@
 //! How many requests this node may have in flight at one endpoint, learned from outcomes.
 //!
-//! Nobody tells a node what an endpoint can take, and what other nodes send there changes. So each answer without
-//! overload raises the limit a little and each with overload lowers it, until overload settles at
+//! The capacity of an endpoint is not announced, and the share that other nodes use changes. So each answer
+//! without overload raises the limit a little and each with overload lowers it, until overload settles at
 //! [`TARGET_OVERLOAD`]. Below 1 the limit is a duty cycle: one request at a time, with pauses between.
 
 /// Share of overload that the learned limits and admission settle at.
@@ -10,16 +10,16 @@
 const STEP: f64 = 0.1;
 /// Growth is faster by this factor until overload first shows.
 const INITIAL_GROWTH_FACTOR: f64 = 5.0;
-/// The least requests in flight, over all nodes, that a limit never goes below: at an endpoint that turns away ...
+/// Lower bound of the limit, in requests in flight over all nodes: at an endpoint that rejects ...
 const FLOOR_WHEN_REJECTING: f64 = 2.0;
-/// ... and at one that is late. What an endpoint does with so few is a fault and no full queue. The limit of this rule
-/// are endpoints for which two at once are too many.
+/// ... and at one that is late. With so few in flight, lateness is a fault and not a full queue. Does not
+/// fit endpoints for which two requests at once are too many.
 const FLOOR_WHEN_LATE: f64 = 0.5;
 
 /// The limit for an endpoint of which nothing is known, in requests in flight.
 ///
-/// Two, or eight over all nodes where these are few; where they are many their share of 32, so that all of them
-/// together do not flood it before any has learned.
+/// Two, but at least eight over all nodes; with many nodes each has its share of 32, so that together they
+/// do not flood an endpoint before any of them has learned.
 pub(super) fn initial_limit(node_count: u32) -> f64 {
     let nodes = f64::from(node_count.max(1));
     (32.0 / nodes).clamp(0.4, 2.0).max(8.0 / nodes)
@@ -29,7 +29,8 @@
 #[derive(Debug, Default)]
 pub(super) struct ConcurrencyLimit {
     limit: f64,
-    /// When cuts last added up to the whole limit; attempts sent before then say nothing new. None before the first cut.
+    /// When the cuts last added up to the limit itself; outcomes of attempts sent before then are ignored.
+    /// None before the first cut.
     fully_cut_at_ms: Option<f64>,
     /// What cuts have taken since then.
     cut_since: f64,
@@ -70,8 +71,8 @@
             || self.paused_until_ms.is_some_and(|until| now_ms < until)
     }
 
-    /// Takes over the limit that the previous process had learned, if it is lower: that process may still fill a larger
-    /// one, and what is left beside it is soon learned.
+    /// Takes over the limit that the previous process had learned, if it is lower: that process may still
+    /// fill a larger one, and what is left is soon learned.
     pub fn restore(&mut self, now_ms: f64, learned: f64) {
         if learned > 0.0 && learned < self.limit {
             self.limit = learned;
@@ -81,7 +82,8 @@
 
     /// Learns from one outcome.
     pub fn learn(&mut self, sample: LoadSample) {
-        // A small limit moves in proportion, and overload takes away as much as its absence adds at the target.
+        // A small limit moves in proportion, and overload takes away as much as its absence adds at the
+        // target.
         let step = STEP * self.limit.min(1.0) * (1.0 - sample.overload / TARGET_OVERLOAD);
         let sent_at_ms = sample.now_ms - sample.elapsed_ms;
         let is_news = self.fully_cut_at_ms.is_none_or(|cut_at| sent_at_ms >= cut_at);
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Cuts the limit by a step, and by part of what was not in use when overload showed: that is no capacity.
+    /// Cuts the limit by a step, and by part of what was unused when overload showed: that part was never
+    /// available.
     fn cut(&mut self, step: f64, sample: &LoadSample) {
         let unused = (self.limit - f64::from(sample.in_flight) - 1.0).max(0.0);
         self.limit =
@@ -109,7 +112,7 @@
     }
 }
 
-/// The least limit of one node at an endpoint that turned a request away (`rejected`) or was late.
+/// The least limit of one node at an endpoint that rejected a request (`rejected`) or was late.
 pub(super) fn limit_floor(rejected: bool, node_count: u32) -> f64 {
     let over_all_nodes = if rejected { FLOOR_WHEN_REJECTING } else { FLOOR_WHEN_LATE };
     over_all_nodes / f64::from(node_count.max(1))
--- a/src/policy/connection_scarcity.rs
+++ b/src/policy/connection_scarcity.rs
@@ -1,8 +1,9 @@
 //! Gives idle connections back when endpoints accept no more.
 //!
-//! An endpoint accepts so many connections, and with many nodes most of them are idle ones of nodes that seldom call.
-//! When attempts find no connection at large, idle connections are closed at all endpoints and none is kept for a
-//! while. That costs a handshake per request, so a few endpoints that are down must not bring it about.
+//! An endpoint accepts so many connections, and with many nodes most of them are idle ones of nodes that
+//! seldom call. When attempts find no connection at large, idle connections are closed at all endpoints and
+//! none is kept for a while. That costs a handshake per request, so a few endpoints that are down must not
+//! bring it about.
 
 use super::event::AttemptOutcome;
 
@@ -20,8 +21,8 @@
 }
 
 impl ConnectionScarcity {
-    /// Takes in an outcome; `hold_ms` is for how long connections are then held to be scarce. True if they have just
-    /// become so: idle connections at all endpoints are to be closed.
+    /// Takes in an outcome; `hold_ms` is for how long connections are then held to be scarce. True if they
+    /// have just become so: idle connections at all endpoints are to be closed.
     pub fn record(&mut self, now_ms: f64, outcome: AttemptOutcome, hold_ms: f64) -> bool {
         let failed = f64::from(u8::from(outcome == AttemptOutcome::ConnectFailed));
         self.unconnected_share += STEP * (failed - self.unconnected_share);
--- a/src/policy/decision_log.rs
+++ b/src/policy/decision_log.rs
@@ -81,7 +81,8 @@
                 write!(
                     f,
                     "refused: {} too late, {} shed, {} crowded, {} with every way blocked; \
-                     {live_endpoints} of {endpoints} live, level {admission_level:.2}, overload {overload:.2}",
+                     {live_endpoints} of {endpoints} live, level {admission_level:.2}, \
+                     overload {overload:.2}",
                     counts.objective_missed,
                     counts.load_shed,
                     counts.in_flight_limit,
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -1,12 +1,13 @@
 //! When discovery is polled.
 //!
-//! Discovery is one small service for all nodes, and a start or an outage has all of them poll at once. So the first poll
-//! of a node is spread, and failed polls back off with jitter, yet soon enough for changes to be known in time.
+//! Discovery is one small service for all nodes, and a start or an outage has all of them poll at once. So
+//! the first poll of a node is spread, and failed polls back off with jitter, yet soon enough for changes
+//! to be known in time.
 
 use super::tuning::Tuning;
 
-/// The longest pause after a failed poll, in milliseconds. A change counts as known 6 s after it could be had: enough
-/// for two such pauses and two polls that wait their turn at the service, for 2 s at most.
+/// The longest pause after a failed poll, in milliseconds. A change counts as known 6 s after it could be
+/// had: enough for two such pauses and two polls that are queued at the service, for 2 s at most.
 const MAX_PAUSE_MS: f64 = 900.0;
 /// Doublings of the pause at most.
 const MAX_DOUBLINGS: u32 = 5;
@@ -34,7 +35,8 @@
         pause_ms * (MIN_JITTER + (1.0 - MIN_JITTER) * rng.f64())
     }
 
-    /// The time until the first poll, in milliseconds. A node without a list has nothing to serve by and polls at once.
+    /// The time until the first poll, in milliseconds. A node without a list has nothing to serve by and
+    /// polls at once.
     pub fn first_poll_in_ms(has_endpoints: bool, tuning: &Tuning, rng: &mut fastrand::Rng) -> f64 {
         if has_endpoints { tuning.discovery_spread_ms * rng.f64() } else { 0.0 }
     }
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -1,4 +1,5 @@
-//! Endpoints as the world outside sees them: identity, location, and what discovery and snapshots say of them.
+//! Endpoints as the world outside sees them: identity, location, and what discovery and snapshots say of
+//! them.
 
 /// Identity of an endpoint: any number that is the same at every node, such as a hash of its name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -55,7 +56,8 @@
     pub endpoint: EndpointId,
     /// When it started, in milliseconds on the balancer's clock; none once its slow start is over.
     pub started_at_ms: Option<f64>,
-    /// When it may be tried again (PRAT), in milliseconds on the balancer's clock; none if it is not congested.
+    /// When it may be tried again (PRAT), in milliseconds on the balancer's clock; none if it is not
+    /// congested.
     pub prat_ms: Option<f64>,
     /// Its learned concurrency limit, in requests in flight.
     pub concurrency_limit: f64,
--- a/src/policy/endpoint_set.rs
+++ b/src/policy/endpoint_set.rs
@@ -1,9 +1,9 @@
-//! The endpoints that this node knows: what discovery reports, what the operators take out of service, and what the
-//! previous process handed over.
+//! The endpoints that this node knows: what discovery reports, what the operators take out of service, and
+//! what the previous process handed over.
 //!
-//! Discovery, the operators and a restored snapshot may name an endpoint in any order. An endpoint is in service if
-//! discovery lists it as active and no operator has disabled it. What a snapshot says of an endpoint that is not
-//! listed yet is kept until it is.
+//! Discovery, the operators and a restored snapshot may name an endpoint in any order. An endpoint is in
+//! service if discovery lists it as active and no operator has disabled it. What a snapshot says of an
+//! endpoint that is not listed yet is kept until it is.
 
 use super::class_outlier::ClassFailures;
 use super::concurrency_limit::{ConcurrencyLimit, initial_limit};
@@ -18,8 +18,8 @@
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
 
-/// Weight of an endpoint beyond this node's zone, where crossing zones costs: enough of them are left for a zone with more
-/// traffic than its own can carry, and a key stays with few endpoints.
+/// Weight of an endpoint beyond this node's zone, where crossing zones costs: enough of them are left for a
+/// zone with more traffic than its own can carry, and a key stays with few endpoints.
 const OTHER_ZONE_WEIGHT: f64 = 0.5;
 /// What an endpoint served fades to a third in this time, in milliseconds.
 const SERVED_MEMORY_MS: f64 = 1000.0;
@@ -208,8 +208,8 @@
         endpoint.listed = update.state == EndpointState::Active;
     }
 
-    /// When an endpoint last started: as discovery states it, or as the operators put it back, which means that it was
-    /// restarted meanwhile.
+    /// When an endpoint last started: as discovery states it, or as the operators put it back, which means
+    /// that it was restarted meanwhile.
     fn latest_start(&self, update: &EndpointUpdate) -> Option<f64> {
         let reported = Some(update.started_at_ms).filter(|at| at.is_finite() && *at > 0.0);
         let enabled = self.overrides.get(&update.endpoint).and_then(|o| o.enabled_at_ms());
@@ -273,8 +273,8 @@
         self.endpoints.iter().map(snapshot).collect()
     }
 
-    /// Takes over what the previous process knew. The list that this one starts with may be older, so what it does not
-    /// name yet is kept until a later one does.
+    /// Takes over what the previous process knew. The list that this one starts with may be older, so what
+    /// it does not name yet is kept until a later one does.
     pub fn restore(&mut self, now_ms: f64, endpoints: Vec<EndpointSnapshot>, budget: &SlowStartBudget) {
         self.restored = RestoredSnapshot { endpoints, restored_at_ms: now_ms };
         self.apply_restored(now_ms);
@@ -296,15 +296,15 @@
         }
     }
 
-    /// Another process serves beside this one: each is served half of what one was seen to be. Within a second it shows
-    /// who serves how much.
+    /// Another process serves alongside this one: each is served half of what one was seen to be. Within a
+    /// second it shows who serves how much.
     pub fn halve_served_rates(&mut self) {
         self.restored.endpoints.iter_mut().for_each(|endpoint| endpoint.served_per_second /= 2.0);
         self.endpoints.iter_mut().for_each(|endpoint| endpoint.served_per_second /= 2.0);
     }
 
-    /// Requests a second that a warm endpoint was lately served by this node, in the mean; none where there is no warm
-    /// endpoint.
+    /// Requests a second that a warm endpoint was lately served by this node, in the mean; none where there
+    /// is no warm endpoint.
     pub fn mean_warm_rate(&self, now_ms: f64, budget: &SlowStartBudget) -> Option<f64> {
         let is_warm = |endpoint: &&Endpoint| {
             !endpoint.failures.is_congested() && budget.is_warm(endpoint.slow_start.age_ms(now_ms))
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -11,8 +11,8 @@
     Delta,
     /// All endpoints: one that is absent has been removed.
     Snapshot,
-    /// All endpoints as they were known before a restart, perhaps out of date, and none where nothing was kept.
-    /// Comes once, right after [`Event::Start`].
+    /// All endpoints as they were known before a restart, perhaps out of date, and none where nothing was
+    /// kept. Comes once, right after [`Event::Start`].
     CachedSnapshot,
     /// A poll failed or the watch broke; the list stays as it is.
     Failure,
@@ -25,7 +25,7 @@
     Answered,
     /// The endpoint answered with an error; the request may have run.
     ErrorResponse,
-    /// The endpoint turned it away; the request did not run.
+    /// The endpoint rejected it; the request did not run.
     Rejected,
     /// No answer came in time; the request may have run.
     TimedOut,
@@ -87,7 +87,8 @@
     },
     /// A request to answer.
     Request(Request),
-    /// The last byte of a request's body has come, later than its head: the request's time counts from here.
+    /// The last byte of a request's body has come, later than its head: the request's time counts from
+    /// here.
     RequestBodyComplete(RequestId),
     /// A streamed response has begun: the request is answered, whatever becomes of the rest.
     ResponseStarted {
@@ -138,8 +139,8 @@
     Enable(EndpointId),
     /// What the previous process of this node knew. Comes once, after the cached snapshot.
     SnapshotRestored(Vec<EndpointSnapshot>),
-    /// From now on another process of this node serves beside this one, and to all others the two are one node. Comes
-    /// to both, to the new one after the restored snapshot.
+    /// From now on another process of this node serves alongside this one, and to all others the two are
+    /// one node. Comes to both, to the new one after the restored snapshot.
     HandoverStarted,
     /// A message from another node.
     PeerMessage {
--- a/src/policy/failure_record.rs
+++ b/src/policy/failure_record.rs
@@ -1,9 +1,9 @@
 //! Which endpoints fail: a window of recent failures, the congested state, and its trials.
 //!
-//! An endpoint that hangs or has gone costs each request sent there its time. So failures and attempts are counted in
-//! a window of N milliseconds, kept in buckets. More than M failures make the endpoint congested: nothing is sent
-//! there before PRAT, the proxy retry-at time. After PRAT one request at a time is a trial. Any answer makes the
-//! endpoint live again; a failure sets PRAT anew.
+//! An endpoint that hangs or has gone costs each request sent there its time. So failures and attempts are
+//! counted in a window of N milliseconds, kept in buckets. More than M failures make the endpoint
+//! congested: nothing is sent there before PRAT, the proxy retry-at time. After PRAT one request at a time
+//! is a trial. Any answer makes the endpoint live again; a failure sets PRAT anew.
 
 /// Buckets of the failure window.
 const BUCKETS: usize = 16;
@@ -11,7 +11,8 @@
 const ALLOWED_FAILURES: f64 = 1.0;
 /// ... plus this part of the attempts ...
 const ALLOWED_FAILURE_SHARE: f64 = 0.25;
-/// ... plus this multiple of the failure share of all endpoints: a shared failure says little of one endpoint.
+/// ... plus this multiple of the failure share of all endpoints: a shared failure says little of one
+/// endpoint.
 const FLEET_SHARE_FACTOR: f64 = 3.0;
 /// A run of failures trips an endpoint if chance alone brings it less often than this.
 const CHANCE_OF_RUN: f64 = 0.005;
@@ -63,7 +64,8 @@
         self.congested
     }
 
-    /// When the first trial may be sent, in milliseconds on the balancer's clock; of meaning while congested.
+    /// When the first trial may be sent, in milliseconds on the balancer's clock; of meaning while
+    /// congested.
     pub fn prat_ms(&self) -> f64 {
         self.prat_ms
     }
@@ -105,10 +107,11 @@
         WindowTotals { failures: sum(|bucket| bucket.failures), attempts: sum(|bucket| bucket.attempts) }
     }
 
-    /// Whether the failures in the window are more than M, or the latest form a run that is too long for chance.
+    /// Whether the failures in the window are more than M, or the latest form a run that is too long for
+    /// chance.
     ///
-    /// `fleet_failure_share` is the failure share of all endpoints. With sparse traffic a window holds an attempt or
-    /// two, and a wrong trip costs next to nothing: any failure trips.
+    /// `fleet_failure_share` is the failure share of all endpoints. With sparse traffic a window holds an
+    /// attempt or two, and a wrong trip costs next to nothing: any failure trips.
     pub fn should_trip(&self, fleet_failure_share: f64, sees_sparse_traffic: bool) -> bool {
         let WindowTotals { failures, attempts } = self.totals();
         let allowed = ALLOWED_FAILURES
--- a/src/policy/key_frequency.rs
+++ b/src/policy/key_frequency.rs
@@ -1,19 +1,19 @@
-//! Which keys are hot: a sketch of how often each key is asked for at this node.
+//! Which keys are hot: a sketch of how often each key is requested at this node.
 //!
-//! A key's requests go to two candidates. One with a large part of the traffic overloads both, so its share has to be
-//! known. Counting every key would take memory without bound; a count-min sketch of two rows holds the counts within
-//! a constant one, and fades.
+//! A key's requests go to two candidates. One with a large part of the traffic overloads both, so its share
+//! has to be known. Counting every key would take memory without bound; a count-min sketch of two rows
+//! holds the counts within a constant one, and fades.
 
 /// Counters in a row.
 const SLOTS: usize = 2048;
-/// Counts fade to a third in this time, in milliseconds: long enough for a node with few requests a second to meet a
-/// hot key again.
+/// Counts fade to a third in this time, in milliseconds: long enough for a node with few requests a second
+/// to meet a hot key again.
 const MEMORY_MS: f64 = 15_000.0;
 /// A share is taken of at least this many requests: it cannot be told from fewer.
 const MIN_EVIDENCE: f64 = 20.0;
 
-/// What a node with sparse traffic takes the share of any key for, in requests of `MIN_EVIDENCE`: most requests are for
-/// keys that are asked for often.
+/// What a node with sparse traffic takes the share of any key for, in requests of `MIN_EVIDENCE`: most
+/// requests are for popular keys.
 pub(super) const SPARSE_TRAFFIC_GUESS: f64 = 0.8;
 
 /// Decaying counts of keys.
@@ -49,8 +49,8 @@
         self.total *= keep;
     }
 
-    /// Part of the traffic that is for a mixed key, 0 to 1. One request says nothing beyond the `guess`, which is in
-    /// requests.
+    /// Part of the traffic that is for a mixed key, 0 to 1. One request says nothing beyond the `guess`,
+    /// which is in requests.
     pub fn share(&self, key: u64, guess: f64) -> f64 {
         let [first, second] = KeyFrequencySketch::slots(key);
         let count = self.rows[0][first].min(self.rows[1][second]);
--- a/src/policy/load_report.rs
+++ b/src/policy/load_report.rs
@@ -1,12 +1,13 @@
 //! What endpoints report of their load, and how utilized the fleet is by that.
 //!
-//! Reports are some time old, not exact and seldom complete. They are condensed into one figure, the utilization of an
-//! endpoint, which fades towards the mean of all endpoints when nothing is heard.
+//! Reports are some time old, not exact and seldom complete. They are condensed into one figure, the
+//! utilization of an endpoint, which fades towards the mean of all endpoints when no report comes.
 
 use super::decaying_mean::DecayingMean;
 use super::event::AttemptOutcome;
 
-/// Where only the queue is reported, work of this part of the latency objective makes an endpoint half utilized.
+/// Where only the queue is reported, work of this part of the latency objective makes an endpoint half
+/// utilized.
 const HALF_UTILIZED_PART: f64 = 8.0;
 /// A report that follows another soon counts less, down to this much less: it is noise of the same moment.
 const REPEATED_REPORT_DISCOUNT: f64 = 0.7;
@@ -33,7 +34,8 @@
 }
 
 impl LoadReport {
-    /// How utilized the endpoint is, 0 to 1: how busy its cores are or, where only the queue is told, the work in it.
+    /// How utilized the endpoint is, 0 to 1: how busy its cores are or, where only the queue is told, the
+    /// work in it.
     fn estimated_utilization(&self, latency_objective_ms: f64) -> Option<f64> {
         let by_queue = self.queued.or(self.in_flight).zip(self.latency_ms).map(|(requests, latency_ms)| {
             let work_ms = requests * latency_ms;
@@ -57,8 +59,8 @@
 
     /// What an attempt's end says of its endpoint's utilization.
     ///
-    /// One that fails or rejects fast looks idle, so its failures count as full utilization. That holds only among
-    /// endpoints that report: where none does, failures alone would make up the mean.
+    /// One that fails or rejects fast looks idle, so its failures count as full utilization. That holds
+    /// only among endpoints that report: where none does, failures alone would make up the mean.
     pub fn observed(
         &self,
         outcome: AttemptOutcome,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,12 +1,13 @@
 //! The decisions of one node, without I/O, clock, threads or globals.
 //!
-//! A load balancer in front of endpoints that restart, hang, slow down and leave has to decide, for each request,
-//! whether to admit it, which endpoint gets it, whether a failed attempt is repeated, and when to give up. This
-//! module decides; the host that embeds it (the node, or the simulator adapter) reads clocks and sockets.
+//! A load balancer in front of endpoints that restart, hang, slow down and leave has to decide, for each
+//! request, whether to admit it, which endpoint gets it, whether a failed attempt is repeated, and when to
+//! give up. This module decides; the host that embeds it (the node, or the simulator adapter) reads clocks
+//! and sockets.
 //!
-//! [`Balancer`] takes [`Event`]s in the order they happened, each with the time at which it did, and answers with
-//! the [`Action`]s that the host has to carry out in the order given. The same seed, settings and events give the
-//! same actions.
+//! [`Balancer`] takes [`Event`]s in the order they happened, each with the time at which it did, and
+//! answers with the [`Action`]s that the host has to carry out in the order given. The same seed, settings
+//! and events give the same actions.
 //!
 //! All times are `f64` milliseconds of one monotonic clock with an arbitrary origin.
 //!
--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -1,8 +1,8 @@
 //! What the end of an attempt says of its endpoint, its class and the fleet.
 //!
-//! One outcome feeds several estimates, and some outcomes say nothing: what the node itself cancelled, what a client in a
-//! hurry did not wait for, what one class alone suffers. This module decides who learns from what; each estimate is
-//! kept by its own module.
+//! One outcome feeds several estimates, and some outcomes say nothing: what the node itself cancelled, what
+//! a client in a hurry did not wait for, what one class alone suffers. This module decides who learns from
+//! what; each estimate is kept by its own module.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -14,10 +14,11 @@
 
 /// How far the failure share of all endpoints moves towards one outcome.
 const FLEET_FAILURE_STEP: f64 = 0.02;
-/// At most this part of the unused concurrency limit is cut at once, the more the more the fleet is overloaded: one late
-/// answer in quiet times takes next to nothing.
+/// At most this part of the unused concurrency limit is cut at once, the more the more the fleet is
+/// overloaded: one late answer in quiet times takes next to nothing.
 const MAX_UNUSED_CUT_SHARE: f64 = 0.5;
-/// The cut grows with the fleet's overload by this slope, in targets: all of that part is cut from half the target on.
+/// The cut grows with the fleet's overload by this slope, in targets: all of that part is cut from half the
+/// target on.
 const UNUSED_CUT_SLOPE: f64 = 2.0;
 /// The usual time of a class is taken for at most this part of its objective.
 const MAX_USUAL_PART: f64 = 0.8;
@@ -99,7 +100,8 @@
         }
     }
 
-    /// A trial is over. Any answer at all shows that the endpoint can be reached; one that was called off says nothing.
+    /// A trial is over. Any answer at all shows that the endpoint can be reached; one that was called off
+    /// says nothing.
     fn end_trial(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt, actions: &mut Vec<Action>) {
         if ended.outcome.is_own_doing() {
             self.endpoints[index].failures.trial_abandoned();
@@ -114,8 +116,8 @@
             return;
         }
         let recovery = endpoint.failures.trial_answered();
-        // Where nobody was there it may have restarted, and discovery is late to say so. One that was only slow, or lost
-        // a connection, is as warm as before.
+        // Where nobody was there it may have restarted, and discovery is late to say so. One that was only
+        // slow, or lost a connection, is as warm as before.
         if recovery.was_unreachable {
             endpoint.begin_slow_start(now_ms, &mut self.rng);
         }
@@ -146,8 +148,9 @@
         if self.concerns_class_alone(now_ms, index, ended) {
             return;
         }
-        // That a client in a hurry did not wait says nothing of the endpoint, which shows by those that wait. The limit of
-        // this rule are fleets where none does.
+        // A timeout at a short client deadline says nothing about the endpoint; a silent endpoint shows by
+        // the clients that wait longer. Does not detect a silent endpoint in a fleet in which no client
+        // waits longer.
         if has_short_deadline && ended.outcome == AttemptOutcome::TimedOut {
             return;
         }
@@ -173,8 +176,8 @@
         }
     }
 
-    /// Notes how the class fares at the endpoint. True if this is a failure that the class suffers there while others are
-    /// served, which says nothing of the endpoint.
+    /// Notes how the class fares at the endpoint. True if this is a failure that the class suffers there
+    /// while others are served, which says nothing of the endpoint.
     fn concerns_class_alone(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt) -> bool {
         // Connections belong to no class.
         let of_connection =
@@ -191,8 +194,8 @@
 
     /// How overloaded an outcome shows the endpoint, 0 to 1.
     ///
-    /// Strain starts half-way, as ratios go, from the class's usual time to its objective: holding more in flight than
-    /// that serves nobody sooner, long before the objective itself is missed.
+    /// Strain starts half-way, as ratios go, from the class's usual time to its objective: holding more in
+    /// flight than that serves nobody sooner, long before the objective itself is missed.
     fn overload_of(&self, ended: &EndedAttempt) -> f64 {
         if !ended.in_objective {
             return 1.0;
@@ -204,8 +207,8 @@
         ((ended.elapsed_ms - strained_ms) / (objective_ms - strained_ms)).clamp(0.0, 1.0)
     }
 
-    /// Has admission and the endpoint's concurrency limit learn. Limits tell endpoints apart: what the whole fleet
-    /// suffers is left to admission.
+    /// Has admission and the endpoint's concurrency limit learn. Limits tell endpoints apart: what the
+    /// whole fleet suffers is left to admission.
     fn learn_overload(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt, overload: f64) {
         let endpoint = &mut self.endpoints[index];
         // An endpoint that is full or cannot be reached is a matter of its own; the request goes elsewhere.
@@ -231,7 +234,8 @@
         });
     }
 
-    /// Counts the outcome in the endpoint's failure record, and makes the endpoint congested where that is due.
+    /// Counts the outcome in the endpoint's failure record, and makes the endpoint congested where that is
+    /// due.
     fn learn_failure(
         &mut self,
         now_ms: f64,
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -1,7 +1,7 @@
 //! The life of a request: arrival, attempts, their ends, and the final answer.
 //!
-//! Every attempt passes the [`SendGate`], every rejection [`Balancer::reject_or_fail`]. There the rules are kept,
-//! whatever the rest decides.
+//! Every attempt passes the [`SendGate`], every rejection [`Balancer::reject_or_fail`]. There the rules are
+//! kept, whatever the rest decides.
 
 use super::action::{Action, RejectionReason};
 use super::admission::{Candidate, FleetView, Freshness};
@@ -95,8 +95,8 @@
 
     /// Time that the client has spent on earlier tries, in milliseconds.
     ///
-    /// A client with a short deadline looks like one at its last try. Where a late answer keeps some value, the client
-    /// has the benefit of the doubt.
+    /// A client with a short deadline looks like one at its last try. Where a late answer keeps some value,
+    /// the client is believed.
     fn client_age_ms(&mut self, request: &Request, wait_ms: f64, terms: &ClassTerms) -> f64 {
         let Some(class) = self.classes.get_mut(request.class) else { return 0.0 };
         let is_retry = self.settings.clients_mark_retries.then_some(request.is_retry);
@@ -109,7 +109,8 @@
         age_ms
     }
 
-    /// The work that a request brings, in milliseconds: as its client estimates it, or as its class usually has it.
+    /// The work that a request brings, in milliseconds: as its client estimates it, or as its class usually
+    /// has it.
     fn cost_ms(&self, request: &Request) -> f64 {
         let usual = self.classes.get(request.class).map_or(1.0, |class| class.mean_ms());
         request.estimated_cost_ms.filter(|cost| cost.is_finite() && *cost > 0.0).unwrap_or(usual)
@@ -194,8 +195,8 @@
         }
     }
 
-    /// The gate of every final answer that is none of an endpoint's: a request is rejected where the promise holds that
-    /// trying again does no harm, and failed where it does not.
+    /// The gate of every final answer that is none of an endpoint's: a request is rejected where the
+    /// promise holds that trying again does no harm, and failed where it does not.
     fn reject_or_fail(
         &mut self,
         now_ms: f64,
@@ -288,8 +289,8 @@
 
     /// After the end of an attempt: the request is over, or is tried again, or is given up.
     ///
-    /// What may have run and must not run twice is over without a look for an endpoint, which would take from the budgets
-    /// of others and count as a fleet with no usable endpoint.
+    /// What may have run and must not run twice is over without a look for an endpoint, which would take
+    /// from the budgets of others and count as a fleet with no usable endpoint.
     fn go_on(&mut self, now_ms: f64, end: AttemptEnd, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&end.id).filter(|pending| !pending.has_attempt_in_flight())
         else {
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,8 +1,8 @@
 //! Whether, where and for how long a failed attempt is repeated.
 //!
-//! A repeat may run a request twice, and repeats multiply load when there is least to spare. So a request that may have
-//! run is repeated only as far as its class allows, each repeat takes from a budget that grows with the requests,
-//! and an attempt at an endpoint in doubt gets a short timeout.
+//! A repeat may run a request twice, and repeats multiply load when there is least to spare. So a request
+//! that may have run is repeated only as far as its class allows, each repeat takes from a budget that
+//! grows with the requests, and an attempt at a suspect endpoint gets a short timeout.
 
 use super::class_statistics::ClassStatistics;
 use super::endpoint::Location;
@@ -59,11 +59,11 @@
     }
 }
 
-/// For how long, in milliseconds, a further attempt at a place may still begin: infinite where nothing has run or
-/// repeating does no harm, 0 or less where it is not allowed.
+/// For how long, in milliseconds, a further attempt at a location may still begin: infinite where nothing
+/// has run or repeating does no harm, 0 or less where it is not allowed.
 ///
-/// Once an attempt may have run, a request that is not idempotent is sent only where its key is remembered, and for as
-/// long as it is.
+/// Once an attempt may have run, a request that is not idempotent is sent only where its key is remembered,
+/// and for as long as it is.
 pub(super) fn repeat_window_ms(
     now_ms: f64,
     request: &PendingRequest,
@@ -95,8 +95,8 @@
 }
 
 impl AttemptTimeout<'_> {
-    /// n, the timeout in milliseconds: up to the objective or the deadline, and short where the endpoint is in doubt, so
-    /// that a silent one costs little.
+    /// n, the timeout in milliseconds: up to the objective or the deadline, and short where the endpoint is
+    /// suspect, so that a silent one costs little.
     pub fn timeout_ms(&self) -> f64 {
         let deadline_ms = self.request.request.deadline_ms;
         let end_ms = if self.late_answers_wanted { deadline_ms } else { self.request.objective_at_ms };
--- a/src/policy/retry_after.rs
+++ b/src/policy/retry_after.rs
@@ -7,8 +7,8 @@
 /// T is at most this part of the longest advice that clients honour.
 const MAX_ADVICE_PART: f64 = 2.0;
 
-/// The advice in milliseconds: the earliest PRAT - now + T + a random 0 to T where every endpoint is congested, and T +
-/// that spread where concurrency limits alone block.
+/// The advice in milliseconds: the earliest PRAT - now + T + a random 0 to T where every endpoint is
+/// congested, and T + that spread where concurrency limits alone block.
 pub(super) fn retry_after_ms(
     now_ms: f64,
     latency_objective_ms: f64,
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,9 +1,10 @@
 //! Which endpoint a request goes to.
 //!
-//! Endpoints need less work for keys that they met lately, so a key should keep to few of them; but one endpoint alone
-//! would be overloaded by a hot key and lost with a crash. Weighted rendezvous hashing ranks the endpoints for each
-//! key, and the first two are its candidates. Of these the one with fewer requests of this node in flight is taken. If
-//! neither can be used, the usable endpoint with the fewest in flight is.
+//! Endpoints need less work for keys that they met lately, so a key should keep to few of them; but one
+//! endpoint alone would be overloaded by a hot key and lost with a crash. Weighted rendezvous hashing ranks
+//! the endpoints for each key, and the first two are its candidates. Of these the one with fewer requests
+//! of this node in flight is taken. If neither can be used, the usable endpoint with the fewest in flight
+//! is.
 
 use super::class_statistics::ClassStatistics;
 use super::endpoint_set::{Endpoint, EndpointSet};
@@ -74,7 +75,7 @@
 
     /// The mixed key that the request is placed by; drawn by chance for a request without one.
     ///
-    /// A hot key, one that asks for more than an endpoint's part of the traffic, counts as several keys: its two
+    /// A hot key, one with more than an endpoint's part of the traffic, counts as several keys: its two
     /// candidates could not carry it, and nodes that each hold next to nothing in flight cannot see that.
     fn placement_key(&self, rng: &mut fastrand::Rng) -> u64 {
         let key = self.gate.request.request.key.map_or_else(|| rng.u64(..), mix);
@@ -109,7 +110,8 @@
         self.endpoints[index].class_failures.is_outlier(self.gate.now_ms, class, self.classes)
     }
 
-    /// The usable endpoint with the fewest in flight, by rank among equals, so that these keys too keep to few endpoints.
+    /// The usable endpoint with the fewest in flight, by rank among equals, so that these keys too keep to
+    /// few endpoints.
     fn least_loaded(&self, key: u64) -> Option<usize> {
         let usable = self.endpoints.placement().iter().filter(|node| self.is_usable(node.index));
         let by_load_and_rank = |a: &&RendezvousNode, b: &&RendezvousNode| {
@@ -119,10 +121,11 @@
         usable.min_by(by_load_and_rank).map(|node| node.index)
     }
 
-    /// Whether the second candidate is taken: it has fewer of this node's requests in flight or, where both have as many,
-    /// it is the less utilized by its reports. The odds grow with the difference, so that nodes which heard the same
-    /// report do not all turn at once. With sparse traffic and no reports, where both nearly always have none in
-    /// flight, it is the one with fewer in flight on average: a key must not load one endpoint alone.
+    /// Whether the second candidate is taken: it has fewer of this node's requests in flight or, where both
+    /// have as many, it is the less utilized by its reports. The odds grow with the difference, so that
+    /// nodes which got the same report do not all switch at once. With sparse traffic and no reports, where
+    /// both nearly always have none in flight, it is the one with fewer in flight on average: a key must
+    /// not load one endpoint alone.
     fn prefers_second_candidate(&self, first: usize, second: usize, draw: f64) -> bool {
         let (first, second) = (&self.endpoints[first], &self.endpoints[second]);
         if first.in_flight != second.in_flight {
--- a/src/policy/send_gate.rs
+++ b/src/policy/send_gate.rs
@@ -16,8 +16,8 @@
 }
 
 impl SendGate<'_> {
-    /// Whether an attempt may be sent to an endpoint: its client waits, attempts are left, the endpoint is in service, a
-    /// repeat does no harm there, and its slow start allows it.
+    /// Whether an attempt may be sent to an endpoint: its client waits, attempts are left, the endpoint is
+    /// in service, a repeat does no harm there, and its slow start allows it.
     pub fn allows(&self, endpoint: &Endpoint) -> bool {
         self.request_is_open()
             && endpoint.in_service
@@ -39,9 +39,9 @@
         repeat_window_ms(self.now_ms, self.request, class, endpoint.location)
     }
 
-    /// Whether selection may take an endpoint: the gate allows it, it is neither congested nor at its concurrency limit,
-    /// and this request has not tried it. A congested one that is due may take a trial, which has to be a request
-    /// that may be repeated.
+    /// Whether selection may take an endpoint: the gate allows it, it is neither congested nor at its
+    /// concurrency limit, and this request has not tried it. A congested one that is due may take a trial,
+    /// which has to be a request that may be repeated.
     pub fn is_usable(&self, endpoint: &Endpoint) -> bool {
         let may_trial = endpoint.failures.trial_due(self.now_ms)
             && self.settings.idempotency(self.request.request.class).allows_repeats();
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -15,7 +15,8 @@
 }
 
 impl Idempotency {
-    /// Whether the request may be sent again although an earlier attempt may have run, somewhere and for some time.
+    /// Whether the request may be sent again although an earlier attempt may have run, somewhere and for
+    /// some time.
     pub(super) fn allows_repeats(self) -> bool {
         self != Idempotency::NotIdempotent
     }
@@ -70,7 +71,8 @@
     pub late_weight_factor: f64,
     /// What a repeat may do.
     pub idempotency: Idempotency,
-    /// How long a repeat with the same key is dropped, in milliseconds from the first attempt that may have run.
+    /// How long a repeat with the same key is dropped, in milliseconds from the first attempt that may have
+    /// run.
     pub deduplication_window_ms: f64,
     /// The objective is longer by this multiple of the request's own work, up to the deadline; 0 for none.
     pub objective_stretch: f64,
@@ -136,7 +138,7 @@
     Probes,
 }
 
-/// What one node is told at its start.
+/// What one node is configured with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Request classes; a request names one by its index.
@@ -149,7 +151,7 @@
     pub node_count: u32,
     /// This node's number among them, from 0.
     pub node_index: u32,
-    /// This node's zone, if it was told; comparable with
+    /// This node's zone, if it is known; comparable with
     /// [`EndpointUpdate::zone`](super::EndpointUpdate::zone).
     pub zone: Option<u16>,
     /// What [`EndpointUpdate::weight`](super::EndpointUpdate::weight) means.
@@ -180,7 +182,7 @@
     pub idle_connection_timeout_ms: f64,
     /// A connection not made by then has failed, in milliseconds.
     pub connect_timeout_ms: f64,
-    /// Processor time that this node may use, in microseconds a second; 0 where no limit is told.
+    /// Processor time that this node may use, in microseconds a second; 0 where there is no limit.
     pub cpu_us_per_second: f64,
     /// Clients mark their retries: a request without the mark is a first try.
     pub clients_mark_retries: bool,
@@ -198,7 +200,8 @@
     pub overload_multiple: f64,
     /// ... for this time, in milliseconds.
     pub overload_window_ms: f64,
-    /// Sends to an endpoint must end within this time after it was reported as draining or removed, in milliseconds.
+    /// Sends to an endpoint must end within this time after it was reported as draining or removed, in
+    /// milliseconds.
     pub drain_grace_ms: f64,
     /// With polled discovery, the longest time between two polls, in milliseconds.
     pub max_poll_interval_ms: f64,
@@ -255,7 +258,8 @@
         figures
     }
 
-    /// What a repeat of a request of this class may do; a class that is not known is held to the strictest rule.
+    /// What a repeat of a request of this class may do; a class that is not known falls under the strictest
+    /// rule.
     pub fn idempotency(&self, class: usize) -> Idempotency {
         self.classes.get(class).map_or(Idempotency::NotIdempotent, |class| class.idempotency)
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,25 +1,26 @@
 //! How fast a restarted endpoint gets traffic.
 //!
-//! A restarted endpoint has a small part of its capacity, which grows while it warms up, and falls over if all nodes
-//! together send it more than a multiple of that. Nodes do not know of each other's sends, so each has its share of a
-//! budget for the fleet: a token bucket, one request deep, that fills at a rate by the endpoint's age and by what warm
-//! endpoints were seen to serve.
+//! A restarted endpoint has a small part of its capacity, which grows while it warms up, and falls over if
+//! all nodes together send it more than a multiple of that. Nodes do not know of each other's sends, so
+//! each has its share of a budget for the fleet: a token bucket, one request deep, that fills at a rate by
+//! the endpoint's age and by what warm endpoints were seen to serve.
 
 use super::settings::Settings;
 use super::tuning::Tuning;
 
-/// The smallest initial capacity that is reckoned with.
+/// The smallest initial capacity that is assumed.
 const MIN_INITIAL_CAPACITY: f64 = 0.01;
-/// Work of a request at an endpoint that knows no key, over its work at a warm one.
+/// Work of a request at an endpoint without warm keys, relative to its work at a warm endpoint.
 const COLD_KEY_WORK: f64 = 2.0;
-/// Requests that all nodes together may send any restarted endpoint in one overload window, whatever it can do.
+/// Requests that all nodes together may send any restarted endpoint in one overload window, whatever it can
+/// do.
 const ALWAYS_ALLOWED_PER_WINDOW: f64 = 3.0;
-/// Multiple of what a restarted endpoint served in the last second that it is sent in the next.
+/// A restarted endpoint may be sent this multiple of what it served in the last second.
 const PROVEN_RATE_MULTIPLE: f64 = 2.0;
-/// Deviations of uneven work that the budget stays below the overload multiple, for chance: three, for work whose
-/// deviation is the root of twice its mean ...
+/// Safety margin of the budget below the overload multiple, in deviations, squared: three deviations of
+/// work whose variance is twice its mean ...
 const CHANCE_MARGIN_SQUARED: f64 = 18.0;
-/// ... and two of even work where nodes are many.
+/// ... and, with sparse traffic, two deviations of even work.
 const CHANCE_MARGIN_SPARSE: f64 = 2.0;
 /// The depth of the token bucket, in requests.
 const BUCKET_DEPTH: f64 = 1.0;
@@ -27,7 +28,8 @@
 /// The slow start of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SlowStart {
-    /// When the endpoint last started, in milliseconds on the balancer's clock; none if that was never told.
+    /// When the endpoint last started, in milliseconds on the balancer's clock; none if that was never
+    /// reported.
     pub started_at_ms: Option<f64>,
     /// Requests of mean work that the budget allows, as of `refilled_at_ms`.
     tokens: f64,
@@ -35,7 +37,7 @@
 }
 
 impl SlowStart {
-    /// For an endpoint that is new to this node. `tokens` is drawn by chance, so that nodes differ.
+    /// The slow start of an endpoint that is new to this node. `tokens` is random, so that nodes differ.
     pub fn new(now_ms: f64, started_at_ms: Option<f64>, tokens: f64) -> SlowStart {
         SlowStart { started_at_ms, tokens, refilled_at_ms: now_ms }
     }
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Time since the endpoint started, in milliseconds; infinite if that was never told.
+    /// Time since the endpoint started, in milliseconds; infinite if that was never reported.
     pub fn age_ms(&self, now_ms: f64) -> f64 {
         self.started_at_ms.map_or(f64::INFINITY, |at| now_ms - at)
     }
@@ -65,7 +67,8 @@
     }
 }
 
-/// The budget for restarted endpoints: what the settings allow, and what this node has seen warm ones serve.
+/// The budget for restarted endpoints: what the settings allow, and what this node has seen warm ones
+/// serve.
 #[derive(Debug)]
 pub(super) struct SlowStartBudget {
     duration_ms: f64,
@@ -106,19 +109,20 @@
         self.initial_capacity + (1.0 - self.initial_capacity) * warmed
     }
 
-    /// The part of an endpoint's capacity that its place among the candidates counts: more than the ramp where it has
-    /// shown more.
+    /// The part of its weight that an endpoint has in the placement: its place on the ramp, or more if it
+    /// has served more.
     pub fn placement_share(&self, age_ms: f64, served_per_second: f64) -> f64 {
         let per_warm_rate = if self.sees_sparse_traffic { 0.0 } else { 1.0 / self.warm_rate.max(1.0) };
         self.capacity_share(age_ms).max((per_warm_rate * served_per_second).min(1.0))
     }
 
-    /// Notes what warm endpoints serve this node, in requests a second each; none where there is no warm one.
+    /// Records what warm endpoints serve this node, in requests a second each; none if there is no warm
+    /// endpoint.
     pub fn observe_warm_rate(&mut self, mean: Option<f64>) {
         self.warm_rate = mean.unwrap_or(self.warm_rate);
     }
 
-    /// Another process serves beside this one: each is served half of what one was.
+    /// Another process serves alongside this one: each is served half of what one was.
     pub fn halve_warm_rate(&mut self) {
         self.warm_rate /= 2.0;
     }
@@ -127,14 +131,14 @@
     fn rate_per_second(&self, age_ms: f64, served_per_second: f64) -> f64 {
         let share = self.capacity_share(age_ms);
         let by_ramp = self.ramp_rate(share).min(share * self.warm_rate);
-        // Where nodes see enough of it to tell, what the endpoint has just served it can do, and it may be far warmer
-        // than the slowest ramp.
+        // If this node sees enough of its traffic, what the endpoint has just served is a lower bound of
+        // what it can do; it may be far warmer than the slowest ramp.
         let proven = if self.sees_sparse_traffic { 0.0 } else { PROVEN_RATE_MULTIPLE * served_per_second };
         by_ramp.max(proven).max(self.rate_while_unknown())
     }
 
-    /// This node's part of what all nodes may send, with a margin for chance: the mean of uneven work plus some
-    /// deviations stays below the overload multiple.
+    /// This node's part of what all nodes may send, with a margin for chance: the mean of uneven work plus
+    /// some deviations stays below the overload multiple.
     fn ramp_rate(&self, capacity_share: f64) -> f64 {
         let budget_per_window = self.overload_multiple
             * capacity_share
@@ -148,8 +152,9 @@
         root * root / self.overload_window_seconds / self.node_count
     }
 
-    /// Until a warm endpoint was seen at work nothing is known of what they can do, and there may be none: then the
-    /// least is sent that is allowed whatever they can do, so that something is served.
+    /// Until this node has seen a warm endpoint at work it does not know what endpoints can do, and there
+    /// may be no warm one. Then it sends the minimum that is allowed in any case, so that something is
+    /// served.
     fn rate_while_unknown(&self) -> f64 {
         if self.warm_rate > 0.0 {
             return 0.0;
--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -1,7 +1,7 @@
 //! The JSON form of the settings, which both the node and the simulator adapter are given.
 //!
-//! Its keys belong to the platform and stay as they are; here they are mapped to the names of
-//! [`Settings`]. Unknown keys are skipped, absent optional ones get defaults.
+//! Its keys belong to the platform and stay as they are; here they are mapped to the names of [`Settings`].
+//! Unknown keys are skipped, absent optional ones get defaults.
 
 use crate::policy::{
     Costs, DeduplicationScope, DiscoveryMode, Idempotency, LoadReporting, ObjectiveWeights, RequestClass,
@@ -37,7 +37,8 @@
 }
 
 impl Names {
-    /// Index of a class in the settings; `usize::MAX` for one that is not there, which is held to the strictest rules.
+    /// Index of a class in the settings; `usize::MAX` for one that is not there, which falls under the
+    /// strictest rules.
     pub fn class(&self, name: &str) -> usize {
         index_of(&self.classes, name).unwrap_or(usize::MAX)
     }
@@ -59,7 +60,8 @@
 /// Reads settings from JSON, and the names that requests and endpoints will use.
 ///
 /// # Errors
-/// The text is no JSON object, a key that must be there is absent, or one holds something else than it should.
+/// The text is no JSON object, a key that must be there is absent, or one holds something else than it
+/// should.
 pub fn read(text: &str) -> Result<(Settings, Names), SettingsFileError> {
     let json: Value =
         serde_json::from_str(text).map_err(|error| SettingsFileError::NotAnObject(error.to_string()))?;
@@ -85,21 +87,9 @@
         node_count: root.count("instances", 1)?,
         node_index: root.count("slotNo", 0)?,
         zone: zone_number(zones, root.word("zone")?),
-        weight_meaning: match root.word("weights")? {
-            "nominal" => WeightMeaning::Nominal,
-            "rough" => WeightMeaning::Rough,
-            "live" => WeightMeaning::Live,
-            _ => WeightMeaning::None,
-        },
-        load_reporting: match root.word("reporting.via")? {
-            "answers" => LoadReporting::Answers,
-            "probe" => LoadReporting::Probes,
-            _ => LoadReporting::None,
-        },
-        discovery: match root.word("membershipMode")? {
-            "on_request" => DiscoveryMode::Poll,
-            _ => DiscoveryMode::Push,
-        },
+        weight_meaning: weight_meaning(root.word("weights")?),
+        load_reporting: load_reporting(root.word("reporting.via")?),
+        discovery: discovery_mode(root.word("membershipMode")?),
         max_attempts: root.count("limits.attemptsCap", 1)?,
         cancellation_allowed: root.flag("limits.mayCancel")?,
         hedging_allowed: root.flag("limits.secondCopies")?,
@@ -126,6 +116,30 @@
     })
 }
 
+fn weight_meaning(word: &str) -> WeightMeaning {
+    match word {
+        "nominal" => WeightMeaning::Nominal,
+        "rough" => WeightMeaning::Rough,
+        "live" => WeightMeaning::Live,
+        _ => WeightMeaning::None,
+    }
+}
+
+fn load_reporting(word: &str) -> LoadReporting {
+    match word {
+        "answers" => LoadReporting::Answers,
+        "probe" => LoadReporting::Probes,
+        _ => LoadReporting::None,
+    }
+}
+
+fn discovery_mode(word: &str) -> DiscoveryMode {
+    match word {
+        "on_request" => DiscoveryMode::Poll,
+        _ => DiscoveryMode::Push,
+    }
+}
+
 fn read_objective_weights(root: Section<'_>) -> Result<ObjectiveWeights, SettingsFileError> {
     Ok(ObjectiveWeights {
         whole: root.number_or("blend.whole", 1.0)?,
@@ -162,7 +176,7 @@
     })
 }
 
-/// A class that says nothing, or something unknown, is held to the strictest rule.
+/// A class that says nothing, or something unknown, falls under the strictest rule.
 fn read_idempotency(class: Section<'_>) -> Result<Idempotency, SettingsFileError> {
     let scope = match class.word("group")? {
         "all" => DeduplicationScope::All,
--- a/tests/node/faults.rs
+++ b/tests/node/faults.rs
@@ -12,7 +12,7 @@
 /// What can be made to fail, in the order of the library's control file. A rate of N fails one call in N.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u64)]
-pub enum Fault {
+pub enum SyscallFault {
     Seed,
     WallOffsetMs,
     InterruptedIo,
@@ -33,7 +33,7 @@
     HeldRename,
 }
 
-const NUMBERS: usize = Fault::HeldRename as usize + 1;
+const NUMBERS: usize = SyscallFault::HeldRename as usize + 1;
 
 /// The library, built once for each test binary.
 fn library() -> &'static Path {
@@ -50,26 +50,26 @@
 }
 
 /// The faults of one process or of several, which can be changed while they run.
-pub struct Faults {
+pub struct SyscallFaults {
     path: PathBuf,
     file: File,
 }
 
-impl Faults {
+impl SyscallFaults {
     /// With no fault set yet.
-    pub fn new(seed: i64) -> Faults {
+    pub fn new(seed: i64) -> SyscallFaults {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("faults-{}-{n}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::write(&path, vec![0; NUMBERS * 8]).unwrap();
         let file = File::options().write(true).open(&path).unwrap();
-        let faults = Faults { path, file };
-        faults.set(Fault::Seed, seed);
+        let faults = SyscallFaults { path, file };
+        faults.set(SyscallFault::Seed, seed);
         faults
     }
 
-    pub fn set(&self, fault: Fault, value: i64) {
+    pub fn set(&self, fault: SyscallFault, value: i64) {
         self.file.write_all_at(&value.to_ne_bytes(), fault as u64 * 8).unwrap();
     }
 
@@ -79,7 +79,7 @@
     }
 }
 
-impl Drop for Faults {
+impl Drop for SyscallFaults {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.path);
     }
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -4,7 +4,7 @@
 pub mod faults;
 pub mod state;
 
-use faults::Faults;
+use faults::SyscallFaults;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 use std::collections::HashMap;
@@ -476,7 +476,11 @@
     }
 
     /// The same, with system calls that fail.
-    pub fn start_with(discovery: SocketAddr, faults: &Faults, change: impl FnOnce(&mut Value)) -> Node {
+    pub fn start_with(
+        discovery: SocketAddr,
+        faults: &SyscallFaults,
+        change: impl FnOnce(&mut Value),
+    ) -> Node {
         let node = Node::spawn(discovery, free_address(), change, "exec \"$0\"", |c| faults.preload(c));
         wait_for("/up is 200", || node.up() == 200);
         node
--- a/tests/node_clock.rs
+++ b/tests/node_clock.rs
@@ -1,7 +1,7 @@
 //! The wall clock may be stepped, forward or back: a restarted server is cold for its time all the same.
 mod node;
 
-use node::faults::{Fault, Faults};
+use node::faults::{SyscallFault, SyscallFaults};
 use node::*;
 use serde_json::Value;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -54,11 +54,11 @@
     for step in [HOUR_MS, 5_000] {
         let before = wall_ms() - 60_000;
         let mut site = Site::new(before);
-        let faults = Faults::new(1);
+        let faults = SyscallFaults::new(1);
         let node = Node::start_with(site.discovery.address, &faults, |_| {});
         let share = site.share(&node, 90);
         assert!(share >= 10, "{share} of 90 while it is warm");
-        faults.set(Fault::WallOffsetMs, -step);
+        faults.set(SyscallFault::WallOffsetMs, -step);
         // By the stepped clock, and for an hour before the time of its last start.
         site.restarted(wall_ms() - step);
         site.becomes_cold(&node);
@@ -68,12 +68,12 @@
 #[test]
 fn a_server_gets_warm_in_its_time_after_the_clock_went_forward() {
     let mut site = Site::new(0);
-    let faults = Faults::new(2);
+    let faults = SyscallFaults::new(2);
     let node = Node::start_with(site.discovery.address, &faults, |c| {
         c["settings"]["rules"]["coldMs"] = 1500.0.into();
         c["settings"]["rules"]["startCapacity"] = 0.01.into();
     });
-    faults.set(Fault::WallOffsetMs, HOUR_MS);
+    faults.set(SyscallFault::WallOffsetMs, HOUR_MS);
     site.restarted(wall_ms() + HOUR_MS);
     wait_for("it has warmed", || site.share(&node, 90) >= 20);
 }
@@ -81,7 +81,7 @@
 #[test]
 fn a_start_in_the_future_is_one_of_just_now() {
     let mut site = Site::new(0);
-    let faults = Faults::new(3);
+    let faults = SyscallFaults::new(3);
     let node = Node::start_with(site.discovery.address, &faults, |c| {
         c["settings"]["rules"]["coldMs"] = 1500.0.into();
         c["settings"]["rules"]["startCapacity"] = 0.01.into();
@@ -94,11 +94,11 @@
 #[test]
 fn the_clock_going_forward_ends_no_cold_time() {
     let mut site = Site::new(0);
-    let faults = Faults::new(4);
+    let faults = SyscallFaults::new(4);
     let node = Node::start_with(site.discovery.address, &faults, |_| {});
     site.restarted(wall_ms());
     site.becomes_cold(&node);
-    faults.set(Fault::WallOffsetMs, HOUR_MS);
+    faults.set(SyscallFault::WallOffsetMs, HOUR_MS);
     // Told once more, as it stands, along with something else.
     site.targets[1]["capacity_hint"] = 1.01.into();
     site.discovery.set(site.targets.clone());
--- a/tests/node_console.rs
+++ b/tests/node_console.rs
@@ -143,18 +143,25 @@
     assert_eq!(client.answer().unwrap().body, b"late");
 }
 
-/// A node on `count` backends named s-0, s-1, ..., each with a record of its own.
-fn start_apart(count: usize) -> (Node, Vec<Record>, Discovery, Vec<std::net::SocketAddr>) {
+/// A node and its backends, named s-0, s-1, ..., each with a record of its own.
+struct Site {
+    node: Node,
+    records: Vec<Record>,
+    discovery: Discovery,
+    addresses: Vec<std::net::SocketAddr>,
+}
+
+fn start_apart(count: usize) -> Site {
     let records: Vec<Record> = (0..count).map(|_| Record::default()).collect();
     let addresses: Vec<_> = records.iter().map(|r| backend(r, |_, _| ok(b"ok"))).collect();
     let discovery = Discovery::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["console"] = free_address().to_string().into());
-    (node, records, discovery, addresses)
+    Site { node, records, discovery, addresses }
 }
 
 #[test]
 fn a_disabled_server_gets_nothing_until_it_is_enabled_whatever_the_list_says() {
-    let (node, records, discovery, addresses) = start_apart(2);
+    let Site { node, records, discovery, addresses } = start_apart(2);
     let asked =
         |n: usize| (0..n).for_each(|_| assert_eq!(ask(node.address, &request("page", 4000)).status(), 200));
     wait_for("both are asked", || {
@@ -183,7 +190,7 @@
 
 #[test]
 fn an_id_that_nobody_has_named_is_an_error_and_one_out_of_service_is_not() {
-    let (node, _, discovery, addresses) = start_apart(2);
+    let Site { node, discovery, addresses, .. } = start_apart(2);
     for line in ["disable-server s-7", "enable-server s-7", "disable-server S-0"] {
         assert_eq!(node.call(line), "error no server of this id is on the list or out of service\n");
     }
@@ -198,7 +205,7 @@
 
 #[test]
 fn a_node_with_every_server_out_of_service_takes_no_clients() {
-    let (node, ..) = start_apart(1);
+    let Site { node, .. } = start_apart(1);
     assert!(node.call("disable-server s-0").starts_with("done "));
     assert_eq!((node.up(), node.call("ready").as_str()), (503, "error takes no clients\n"));
     assert_eq!(ask(node.address, &request("page", 4000)).status(), 503, "refused, not held");
--- a/tests/node_durable_calls.rs
+++ b/tests/node_durable_calls.rs
@@ -1,7 +1,7 @@
 //! A call of the operators that was answered `done` holds whatever becomes of the disk and of the process.
 mod node;
 
-use node::faults::{Fault, Faults};
+use node::faults::{SyscallFault, SyscallFaults};
 use node::*;
 use serde_json::Value;
 use std::net::TcpListener;
@@ -37,7 +37,7 @@
     }
 
     /// A process whose console answers.
-    fn process(&self, faults: Option<&Faults>) -> Node {
+    fn process(&self, faults: Option<&SyscallFaults>) -> Node {
         let console = |c: &mut Value| c["console"] = free_address().to_string().into();
         let set_up = |c: &mut std::process::Command| faults.into_iter().for_each(|f| f.preload(c));
         let node = Node::inherit_with(self.discovery.address, &self.socket, &self.folder, console, set_up);
@@ -62,11 +62,14 @@
 
 #[test]
 fn a_done_outlives_the_process_though_the_disk_fails_for_a_while() {
-    for (seed, fault) in
-        (1..).zip([Fault::WriteFails, Fault::WriteHalves, Fault::SyncFails, Fault::RenameFails])
-    {
+    for (seed, fault) in (1..).zip([
+        SyscallFault::WriteFails,
+        SyscallFault::WriteHalves,
+        SyscallFault::SyncFails,
+        SyscallFault::RenameFails,
+    ]) {
         let site = Site::new(&format!("fails-{seed}"));
-        let faults = Faults::new(seed);
+        let faults = SyscallFaults::new(seed);
         let mut node = site.process(Some(&faults));
         // Nothing can be kept: no `done`, and nothing has changed.
         faults.set(fault, 1);
@@ -88,10 +91,10 @@
 #[test]
 fn a_kill_in_the_middle_of_a_write_leaves_the_last_calls() {
     let site = Site::new("kill");
-    let faults = Faults::new(7);
+    let faults = SyscallFaults::new(7);
     let mut node = site.process(Some(&faults));
     assert!(node.call("disable-server s-1").starts_with("done"));
-    faults.set(Fault::KillInWrite, 1);
+    faults.set(SyscallFault::KillInWrite, 1);
     let _ = std::panic::catch_unwind(|| node.call("disable-server s-2"));
     wait_for("it is killed", || !node.running());
     // A file that was written in place would be cut like this.
@@ -126,12 +129,12 @@
 #[test]
 fn calls_to_two_processes_at_once_both_hold() {
     let site = Site::new("both");
-    let faults = Faults::new(8);
+    let faults = SyscallFaults::new(8);
     let old = site.process(Some(&faults));
     let new = site.process(None);
     // The old process is held up between reading the state and replacing it.
-    faults.set(Fault::HoldMs, 50);
-    faults.set(Fault::HeldRename, 1);
+    faults.set(SyscallFault::HoldMs, 50);
+    faults.set(SyscallFault::HeldRename, 1);
     std::thread::scope(|scope| {
         let first = scope.spawn(|| old.call("disable-server s-0"));
         wait_for("the old process is about to replace the file", || {
@@ -141,7 +144,7 @@
         let first = first.join().unwrap();
         assert!(first.starts_with("done") && second.starts_with("done"), "{first} {second}");
     });
-    faults.set(Fault::HeldRename, 0);
+    faults.set(SyscallFault::HeldRename, 0);
     drop(old);
     drop(new);
     let next = site.process(None);
--- a/tests/node_fleet.rs
+++ b/tests/node_fleet.rs
@@ -260,8 +260,16 @@
     assert_eq!(ask(node.address, &request("page", 900)).status(), 200);
 }
 
-/// A node of many that asks for its list of a discovery with two backends, one of which is about to leave.
-fn asks_with_two_backends() -> (Discovery, Vec<Value>, Node, [Record; 2]) {
+/// A node of many that polls a discovery with two backends, the first of which is about to leave.
+struct PollingSite {
+    discovery: Discovery,
+    /// The list in which the first one drains.
+    drained_list: Vec<Value>,
+    node: Node,
+    records: [Record; 2],
+}
+
+fn asks_with_two_backends() -> PollingSite {
     let records = [Record::default(), Record::default()];
     let addresses = [backend(&records[0], |_, _| ok(b"x")), backend(&records[1], |_, _| ok(b"x"))];
     let targets = all_up(&addresses);
@@ -271,17 +279,18 @@
         c["settings"]["instances"] = 300.into();
     });
     wait_for("a watch is out", || discovery.calls() >= 2);
-    let mut news = targets;
-    news[0] = target("s-0", addresses[0], "draining");
-    (discovery, news, node, records)
+    let mut drained_list = targets;
+    drained_list[0] = target("s-0", addresses[0], "draining");
+    PollingSite { discovery, drained_list, node, records }
 }
 
 #[test]
 fn after_calls_that_discovery_refuses_its_news_is_had_before_it_counts() {
-    let (discovery, news, node, [leaving, staying]) = asks_with_two_backends();
+    let PollingSite { discovery, drained_list, node, records: [leaving, staying] } =
+        asks_with_two_backends();
     // The watch ends with a no, and so do the next calls: as when discovery has too many callers.
     discovery.refuse(4);
-    discovery.set(news);
+    discovery.set(drained_list);
     let told = Instant::now() + Duration::from_secs(6);
     wait_by(told, "the call after the one that is answered", || discovery.calls() >= 7);
     let asked = discovery.asked();
@@ -293,10 +302,11 @@
 
 #[test]
 fn a_call_beside_a_silent_watch_that_is_refused_is_made_again_before_its_news_counts() {
-    let (discovery, news, node, [leaving, staying]) = asks_with_two_backends();
+    let PollingSite { discovery, drained_list, node, records: [leaving, staying] } =
+        asks_with_two_backends();
     discovery.silent(true);
     wait_by(Instant::now() + 3 * PATIENCE, "a call beside the watch", || discovery.calls() >= 3);
-    discovery.set(news);
+    discovery.set(drained_list);
     let told = Instant::now() + Duration::from_secs(6);
     // That call and the next are refused; the watch stays silent.
     discovery.refuse_calls_beside(2);
--- a/tests/node_system_calls.rs
+++ b/tests/node_system_calls.rs
@@ -1,7 +1,7 @@
 //! System calls that fail in ways that Linux documents: the node's own trouble, and nobody else's.
 mod node;
 
-use node::faults::{Fault, Faults};
+use node::faults::{SyscallFault, SyscallFaults};
 use node::*;
 use std::time::Duration;
 
@@ -33,11 +33,11 @@
 fn calls_that_are_interrupted_or_short_break_no_connection() {
     let record = Record::default();
     let discovery = three_backends(&record);
-    let faults = Faults::new(1);
-    faults.set(Fault::InterruptedIo, 11);
-    faults.set(Fault::ShortIo, 5);
-    faults.set(Fault::ShortBytes, 7);
-    faults.set(Fault::InterruptedWait, 13);
+    let faults = SyscallFaults::new(1);
+    faults.set(SyscallFault::InterruptedIo, 11);
+    faults.set(SyscallFault::ShortIo, 5);
+    faults.set(SyscallFault::ShortBytes, 7);
+    faults.set(SyscallFault::InterruptedWait, 13);
     let mut node = Node::start_with(discovery.address, &faults, |c| {
         c["console"] = free_address().to_string().into();
     });
@@ -61,9 +61,9 @@
     for seed in 1..=3 {
         let record = Record::default();
         let discovery = three_backends(&record);
-        let faults = Faults::new(seed);
+        let faults = SyscallFaults::new(seed);
         let mut node = Node::start_with(discovery.address, &faults, |_| {});
-        for fault in [Fault::AcceptFails, Fault::ConnectFails, Fault::SocketFails] {
+        for fault in [SyscallFault::AcceptFails, SyscallFault::ConnectFails, SyscallFault::SocketFails] {
             faults.set(fault, 12);
         }
         all_served(&play(&node, 20));
@@ -78,14 +78,14 @@
 fn accepts_that_fail_close_no_connection_that_rests() {
     let record = Record::default();
     let discovery = three_backends(&record);
-    let faults = Faults::new(4);
+    let faults = SyscallFaults::new(4);
     let node = Node::start_with(discovery.address, &faults, |_| {});
     let mut resting = Client::connect(node.address);
     assert_eq!(resting.ask(&request("page", 4000)).status(), 200);
     quiet_moment();
     let connections = record.open_now();
     assert!(connections > 0);
-    faults.set(Fault::AcceptFails, 2);
+    faults.set(SyscallFault::AcceptFails, 2);
     for _ in 0..40 {
         assert_eq!(
             attempt(node.address, b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n").map(|m| m.status()),
@@ -100,12 +100,12 @@
 fn a_connection_that_breaks_on_the_way_costs_only_its_own_request() {
     let record = Record::default();
     let discovery = three_backends(&record);
-    let faults = Faults::new(5);
+    let faults = SyscallFaults::new(5);
     let mut node = Node::start_with(discovery.address, &faults, |_| {});
     // Where the client's own connection breaks, it gets no answer; each other request gets its one.
-    faults.set(Fault::BrokenIo, 40);
+    faults.set(SyscallFault::BrokenIo, 40);
     let statuses = play(&node, 10);
-    faults.set(Fault::BrokenIo, 0);
+    faults.set(SyscallFault::BrokenIo, 0);
     assert!(statuses.contains(&200), "{statuses:?}");
     wait_for("the node serves again", || {
         std::thread::sleep(Duration::from_millis(20));
@@ -119,8 +119,8 @@
     let record = Record::default();
     let discovery = three_backends(&record);
     for seed in 1..=6 {
-        let faults = Faults::new(seed);
-        faults.set(Fault::SocketFails, 2);
+        let faults = SyscallFaults::new(seed);
+        faults.set(SyscallFault::SocketFails, 2);
         let node = Node::start_with(discovery.address, &faults, |c| {
             c["console"] = free_address().to_string().into();
             c["peer_listen"] = free_address().to_string().into();
--- a/tests/node_waiting.rs
+++ b/tests/node_waiting.rs
@@ -1,7 +1,7 @@
 //! Requests that waited for the node before it took their connection.
 mod node;
 
-use node::faults::{Fault, Faults};
+use node::faults::{SyscallFault, SyscallFaults};
 use node::*;
 use serde_json::Value;
 use std::io::Write;
@@ -55,10 +55,10 @@
     let (mut long, sent) = send(3000);
     let (mut short, _) = send(300);
     std::thread::sleep(Duration::from_millis(800));
-    let faults = Faults::new(1);
-    faults.set(Fault::WallOffsetMs, step_ms);
-    faults.set(Fault::InterruptedIo, one_in);
-    faults.set(Fault::SocketFails, one_in);
+    let faults = SyscallFaults::new(1);
+    faults.set(SyscallFault::WallOffsetMs, step_ms);
+    faults.set(SyscallFault::InterruptedIo, one_in);
+    faults.set(SyscallFault::SocketFails, one_in);
     let _next = Node::inherit_with(discovery.address, &socket, &folder, console, |c| faults.preload(c));
     let status =
         |stream: &mut TcpStream| Message::read(&mut std::io::BufReader::new(stream)).unwrap().status();
