--- a/src/node/discovery/client.rs
+++ b/src/node/discovery/client.rs
@@ -79,7 +79,7 @@
             self,
             DiscoveryError::TimedOut(_)
                 | DiscoveryError::Connect(ConnectError::TimedOut)
-                | DiscoveryError::Exchange(ExchangeError::Spoilt)
+                | DiscoveryError::Exchange(ExchangeError::Malformed)
                 | DiscoveryError::Json(_)
                 | DiscoveryError::NoList
         )
--- a/src/node/discovery/endpoint_list.rs
+++ b/src/node/discovery/endpoint_list.rs
@@ -20,7 +20,7 @@
     /// Its version.
     pub version: u64,
     /// It has all endpoints, not only those that changed.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Its entries, without those that could not be read.
     pub endpoints: Vec<DiscoveredEndpoint>,
     has_bad_entries: bool,
@@ -31,7 +31,7 @@
     /// rest. None where this is no list, or no entry can be read.
     pub fn parse(json: &Value, names: &Names) -> Option<EndpointList> {
         let version = json.get("rev")?.as_u64()?;
-        let is_whole = json.get("all").and_then(Value::as_bool).unwrap_or(false);
+        let is_complete = json.get("all").and_then(Value::as_bool).unwrap_or(false);
         let entries = json.get("targets")?.as_array()?;
         let mut endpoints = Vec::with_capacity(entries.len());
         for entry in entries {
@@ -45,24 +45,24 @@
         }
         let has_bad_entries = endpoints.len() < entries.len();
         let is_list = entries.is_empty() || !endpoints.is_empty();
-        is_list.then_some(EndpointList { version, is_whole, endpoints, has_bad_entries })
+        is_list.then_some(EndpointList { version, is_complete, endpoints, has_bad_entries })
     }
 
     /// The version after which changes alone tell the rest: none where this is not a full list, read
     /// without errors.
     pub fn base_version(&self) -> Option<u64> {
-        let is_base = self.is_whole && !self.has_bad_entries && !self.endpoints.is_empty();
+        let is_base = self.is_complete && !self.has_bad_entries && !self.endpoints.is_empty();
         is_base.then_some(self.version)
     }
 
     /// Whether it tells anything beyond a version that is known.
     pub fn has_news(&self, known_version: u64) -> bool {
-        self.version != known_version || self.is_whole || !self.endpoints.is_empty()
+        self.version != known_version || self.is_complete || !self.endpoints.is_empty()
     }
 
     /// What the decisions are told that it contains.
     pub fn update(&self) -> WatchUpdate {
-        if self.is_whole { WatchUpdate::Snapshot } else { WatchUpdate::Delta }
+        if self.is_complete { WatchUpdate::Snapshot } else { WatchUpdate::Delta }
     }
 
     /// Logs what it brought, if anything; `age` is the time since the call.
@@ -71,7 +71,7 @@
             return;
         }
         let count = |state| self.endpoints.iter().filter(|e| e.update.state == state).count();
-        let what = if self.is_whole { "whole list" } else { "changes" };
+        let what = if self.is_complete { "whole list" } else { "changes" };
         log::line(&format!(
             "discovery: {what}, version {}: {} up, {} draining, {} gone, {:.1} s after the call",
             self.version,
--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -66,10 +66,10 @@
 /// When a failed call is repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Retry {
-    AtOnce,
+    Immediately,
     After(Duration),
     /// When the decisions ask for it.
-    WhenAsked,
+    WhenRequested,
 }
 
 /// What a watch is set up with.
@@ -137,7 +137,7 @@
 
     /// Runs until the driver is gone.
     pub async fn run(mut self, driver: Rc<Driver>) {
-        spawn_local(trust_list_after_start(self.mode, driver.clone()));
+        spawn_local(mark_list_current_after_start(self.mode, driver.clone()));
         loop {
             self.take_watch_requests();
             self.take_new_address();
@@ -235,18 +235,18 @@
         driver: &Rc<Driver>,
     ) {
         let has_not_waited = begun_at.elapsed() < HASTY_WATCH;
-        let is_idle_turn = was_watching && self.version == Some(list.version) && has_not_waited;
+        let did_not_wait = was_watching && self.version == Some(list.version) && has_not_waited;
         // Discovery counts versions anew if its version is below the known one: only the full list is valid
         // then.
-        let counts_anew = !list.is_whole && self.version.is_none_or(|known| list.version < known);
-        self.version = if counts_anew { None } else { Some(list.version) };
+        let versions_restarted = !list.is_complete && self.version.is_none_or(|known| list.version < known);
+        self.version = if versions_restarted { None } else { Some(list.version) };
         self.shared_version.set(self.version);
-        if !counts_anew {
+        if !versions_restarted {
             list.log(begun_at.elapsed());
             report(driver, list.update(), Some(list));
-            driver.trust_list();
+            driver.mark_list_current();
         }
-        if counts_anew || is_idle_turn {
+        if versions_restarted || did_not_wait {
             // Keeps this loop from spinning on watches that do not wait.
             tokio::time::sleep(RETRY_PAUSE).await;
         }
@@ -259,16 +259,16 @@
         self.state = WatchState::CatchingUp;
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         if begun_at.elapsed() < DOWN_WITHIN && !error.is_silence() && !error.is_local() {
-            driver.trust_list();
+            driver.mark_list_current();
         }
         if self.consecutive_failures.is_power_of_two() {
             let (failures, address) = (self.consecutive_failures, self.address);
             log::line(&format!("discovery: no answer to {failures} calls in a row: {address}: {error}"));
         }
         match self.retry_after(error) {
-            Retry::AtOnce => self.has_repeated_silent_call = true,
+            Retry::Immediately => self.has_repeated_silent_call = true,
             Retry::After(pause) => tokio::time::sleep(pause).await,
-            Retry::WhenAsked => {
+            Retry::WhenRequested => {
                 self.state = WatchState::Paused;
                 report(driver, WatchUpdate::Failure, None);
             }
@@ -283,11 +283,11 @@
         } else if error.is_silence() && !self.has_repeated_silent_call {
             // A change that the call would have brought counts as known soon, and silence is no sign of
             // overload: an overloaded service refuses.
-            Retry::AtOnce
+            Retry::Immediately
         } else if Instant::now() < self.known_by {
             Retry::After(MOVE_RETRY_PAUSE.mul_f64(0.5 + 0.5 * self.rng.f64()))
         } else {
-            Retry::WhenAsked
+            Retry::WhenRequested
         }
     }
 }
@@ -300,13 +300,13 @@
 
 /// Marks the configured list as good enough to serve by, once discovery has had time to answer. The task
 /// ends then.
-async fn trust_list_after_start(mode: DiscoveryMode, driver: Rc<Driver>) {
+async fn mark_list_current_after_start(mode: DiscoveryMode, driver: Rc<Driver>) {
     let timeout = match mode {
         DiscoveryMode::Push => PUSH_START_TIMEOUT,
         DiscoveryMode::Poll => POLL_START_TIMEOUT,
     };
     tokio::time::sleep(timeout).await;
-    if driver.trust_list() {
+    if driver.mark_list_current() {
         log::line("discovery: no answer since the start; serves by the list given there");
     }
 }
--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -144,7 +144,7 @@
 
     /// Marks the endpoint list as good enough to serve by: discovery has sent it, or does not answer. True
     /// the first time.
-    pub fn trust_list(&self) -> bool {
+    pub fn mark_list_current(&self) -> bool {
         !self.list_is_current.replace(true)
     }
 
--- a/src/node/frontend/client_connection.rs
+++ b/src/node/frontend/client_connection.rs
@@ -45,7 +45,7 @@
     pub socket: Socket,
     /// Requests on it whose responses have not ended; with pipelining there may be several.
     pub requests_in_progress: Cell<u32>,
-    has_asked: Cell<bool>,
+    has_sent_request: Cell<bool>,
     /// When its first request came, if that had to wait until this node accepted the connection.
     pub waited_since: Cell<Option<Instant>>,
     pub idle_since: Cell<Instant>,
@@ -55,7 +55,7 @@
     stuck_since: Cell<Option<Instant>>,
     pub is_closing: Cell<bool>,
     /// Requests with a Content-Length.
-    told_lengths: Cell<u64>,
+    declared_lengths: Cell<u64>,
     /// A streamed response is on its way to it.
     pub takes_stream: Cell<bool>,
     write_progress: Cell<WriteProgress>,
@@ -70,13 +70,13 @@
         ClientConnection {
             socket,
             requests_in_progress: Cell::new(0),
-            has_asked: Cell::new(false),
+            has_sent_request: Cell::new(false),
             waited_since: Cell::new(waited_since),
             idle_since: Cell::new(Instant::now()),
             read_when_idle: Cell::new(0),
             stuck_since: Cell::new(None),
             is_closing: Cell::new(false),
-            told_lengths: Cell::new(0),
+            declared_lengths: Cell::new(0),
             takes_stream: Cell::new(false),
             write_progress: Cell::new(WriteProgress { written: 0, since: Instant::now() }),
             last_trace_id: RefCell::default(),
@@ -90,7 +90,7 @@
             ConnectionState::Closing
         } else if self.requests_in_progress.get() > 0 {
             ConnectionState::Serving
-        } else if !self.has_asked.get() {
+        } else if !self.has_sent_request.get() {
             ConnectionState::AwaitingFirstRequest
         } else if self.has_unread_request() {
             ConnectionState::ReadingRequest
@@ -100,8 +100,8 @@
     }
 
     /// It has sent a complete request head.
-    pub fn has_asked(&self) -> bool {
-        self.has_asked.get()
+    pub fn has_sent_request(&self) -> bool {
+        self.has_sent_request.get()
     }
 
     /// Its last response is given.
@@ -130,7 +130,7 @@
     pub fn head_deadline(&self) -> Instant {
         let idle_since = self.idle_since.get();
         match self.socket.head_begun_at() {
-            Some(begun_at) if self.has_asked.get() => begun_at + REQUEST_HEAD_TIMEOUT,
+            Some(begun_at) if self.has_sent_request.get() => begun_at + REQUEST_HEAD_TIMEOUT,
             Some(begun_at) => (begun_at + REQUEST_HEAD_TIMEOUT).min(idle_since + FIRST_REQUEST_TIMEOUT),
             None => idle_since + REQUEST_HEAD_TIMEOUT,
         }
@@ -155,10 +155,10 @@
     /// Counts a request's Content-Length header. True if more such header lines were received than hyper
     /// reports: it drops the length of a chunked request, which may be an attempt at request smuggling.
     pub fn hides_length(&self, request: &Request<Incoming>) -> bool {
-        let tells_length = request.headers().contains_key(CONTENT_LENGTH);
-        self.told_lengths.set(self.told_lengths.get() + u64::from(tells_length));
+        let declares_length = request.headers().contains_key(CONTENT_LENGTH);
+        self.declared_lengths.set(self.declared_lengths.get() + u64::from(declares_length));
         request.headers().contains_key(TRANSFER_ENCODING)
-            && self.socket.length_headers() > self.told_lengths.get()
+            && self.socket.length_headers() > self.declared_lengths.get()
     }
 }
 
@@ -168,7 +168,7 @@
 impl RequestInProgress {
     pub fn new(client: Rc<ClientConnection>) -> RequestInProgress {
         client.requests_in_progress.set(client.requests_in_progress.get() + 1);
-        client.has_asked.set(true);
+        client.has_sent_request.set(true);
         client.stuck_since.set(None);
         RequestInProgress(client)
     }
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -174,7 +174,7 @@
         let in_progress = RequestInProgress::new(client.clone());
         async move {
             let mut response = if hides_length {
-                self.count_turned_away(BOTH_FRAMINGS);
+                self.count_rejection(BOTH_FRAMINGS);
                 closing(StatusCode::BAD_REQUEST, BOTH_FRAMINGS)
             } else {
                 self.respond(request, client).await?
@@ -199,11 +199,11 @@
             if client.socket.head_begun_at().is_none() {
                 return Some(CloseReason::Idle);
             }
-            self.count_turned_away("half a head");
+            self.count_rejection("half a head");
             return Some(CloseReason::HalfHead);
         }
         if client.response_stalled() {
-            self.count_turned_away("took nothing more");
+            self.count_rejection("took nothing more");
             return Some(CloseReason::Stalled);
         }
         check.next_at = client.head_deadline().max(Instant::now() + TIMEOUT_RECHECK);
@@ -224,7 +224,7 @@
             match self.reader.read(arrival, head, body).await {
                 Ok(parsed) => self.submit(parsed, &client.socket).await?,
                 Err(bad_request) => {
-                    self.count_turned_away(bad_request.text());
+                    self.count_rejection(bad_request.text());
                     bad_request.into_response()
                 }
             }
--- a/src/node/frontend/listener.rs
+++ b/src/node/frontend/listener.rs
@@ -73,7 +73,7 @@
     /// An accept that failed may neither end the node nor keep it or its log busy. Only where this process
     /// has no descriptor left does the close of something idle help.
     async fn on_accept_error(&self, acceptor: &Acceptor, error: AcceptError) {
-        self.count_turned_away(error.text());
+        self.count_rejection(error.text());
         if matches!(error, AcceptError::OutOfDescriptors) {
             self.descriptors.reclaim();
         }
--- a/src/node/frontend/mod.rs
+++ b/src/node/frontend/mod.rs
@@ -46,8 +46,8 @@
     next_client: Cell<u64>,
     /// What was rejected since that was last logged, by the response's text, and clients cut for being
     /// slow.
-    turned_away: RefCell<BTreeMap<&'static str, u32>>,
-    turned_away_logged_at: Cell<Option<Instant>>,
+    rejection_counts: RefCell<BTreeMap<&'static str, u32>>,
+    rejections_logged_at: Cell<Option<Instant>>,
     /// What was logged last on whether this process takes clients.
     logged_readiness: Cell<Option<Result<(), NotReady>>>,
     /// Since when the process is to end.
@@ -77,8 +77,8 @@
             descriptors: descriptors.clone(),
             clients: RefCell::default(),
             next_client: Cell::new(0),
-            turned_away: RefCell::default(),
-            turned_away_logged_at: Cell::new(None),
+            rejection_counts: RefCell::default(),
+            rejections_logged_at: Cell::new(None),
             logged_readiness: Cell::new(None),
             stopping_since: Cell::new(None),
             is_succeeded: Cell::new(false),
@@ -98,12 +98,12 @@
     }
 
     /// Counts what no endpoint heard of, and logs it now and then.
-    fn count_turned_away(&self, reason: &'static str) {
-        *self.turned_away.borrow_mut().entry(reason.trim_end()).or_default() += 1;
+    fn count_rejection(&self, reason: &'static str) {
+        *self.rejection_counts.borrow_mut().entry(reason.trim_end()).or_default() += 1;
         let is_due = |at: Instant| at.elapsed() > REJECTION_LOG_INTERVAL;
-        if self.turned_away_logged_at.get().is_none_or(is_due) {
-            self.turned_away_logged_at.set(Some(Instant::now()));
-            let counts = std::mem::take(&mut *self.turned_away.borrow_mut());
+        if self.rejections_logged_at.get().is_none_or(is_due) {
+            self.rejections_logged_at.set(Some(Instant::now()));
+            let counts = std::mem::take(&mut *self.rejection_counts.borrow_mut());
             let texts: Vec<String> =
                 counts.iter().map(|(reason, count)| format!("{count} {reason:?}")).collect();
             log::line(&format!("rejected: {}", texts.join(", ")));
@@ -113,7 +113,7 @@
     /// Whether more clients stay than there are descriptors for to be kept idle: those that ask now are
     /// served and go, so that the next find a place.
     fn has_too_many_keep_alive(&self) -> bool {
-        let stays = |client: &&Rc<ClientConnection>| client.has_asked() && !client.is_closing();
+        let stays = |client: &&Rc<ClientConnection>| client.has_sent_request() && !client.is_closing();
         let staying = self.clients.borrow().values().filter(stays).count();
         staying > self.descriptors.limit() / KEEP_ALIVE_PART
     }
--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -207,8 +207,8 @@
                 None => memory = Some(more),
             }
             buffered.extend_from_slice(&data);
-            let is_whole = length == Some(buffered.len() as u64);
-            if buffered.len() > MAX_BUFFERED_BODY && !is_whole {
+            let is_complete = length == Some(buffered.len() as u64);
+            if buffered.len() > MAX_BUFFERED_BODY && !is_complete {
                 let streamed = StreamedRequestBody::new(buffered.freeze(), body, length, rate);
                 return Ok(CollectedBody { body: RequestBody::Streamed(streamed), memory });
             }
--- a/src/node/snapshot/takeover.rs
+++ b/src/node/snapshot/takeover.rs
@@ -186,7 +186,7 @@
             return Ok(false);
         }
         let revision = stored.revision.max(self.override_revision.get()) + 1;
-        self.keep_overrides(revision, &wanted, &known)?;
+        self.store_overrides(revision, &wanted, &known)?;
         if changes {
             driver.take(if disable {
                 DriverEvent::Disable(endpoint)
@@ -202,7 +202,7 @@
 
     /// Writes the wanted overrides durably. If that fails after they became visible to other processes, the
     /// overrides known before are written under a later revision.
-    fn keep_overrides(
+    fn store_overrides(
         &self,
         revision: u64,
         wanted: &BTreeSet<EndpointId>,
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -223,13 +223,7 @@
             is_behind,
             rng: fastrand::Rng::with_seed(!config.seed),
         });
-        // These tasks last as long as the node and end with the process.
-        spawn_local(watch.run(driver.clone()));
-        spawn_local(reload::run(hangup, discovery));
-        spawn_local(sweep(upstream, driver.clone()));
-        if let Some(peers) = sockets.peers {
-            spawn_local(listen_to_peers(peers, driver.clone()));
-        }
+        spawn_background_tasks(&driver, watch, reload::run(hangup, discovery), upstream, sockets.peers);
         let reader = RequestReader::new(names, settings.classes, body_memory);
         let max_open_requests = settings.max_open_requests as usize;
         let frontend =
@@ -266,6 +260,22 @@
     }
 }
 
+/// Starts the tasks that last as long as the node and end with the process.
+fn spawn_background_tasks(
+    driver: &Rc<Driver>,
+    watch: DiscoveryWatch,
+    reload: impl Future<Output = ()> + 'static,
+    upstream: Rc<Upstream>,
+    peers: Option<Rc<PeerSocket>>,
+) {
+    spawn_local(watch.run(driver.clone()));
+    spawn_local(reload);
+    spawn_local(sweep(upstream, driver.clone()));
+    if let Some(peers) = peers {
+        spawn_local(listen_to_peers(peers, driver.clone()));
+    }
+}
+
 fn log_start(name: &str, configured: SocketAddr, admin: Option<SocketAddr>, clients: &TcpListener) {
     let address = clients.local_addr().unwrap_or(configured);
     let admin = admin.map_or_else(String::new, |address| format!(", takes calls on {address}"));
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -113,13 +113,8 @@
         };
         // Connecting took time: the endpoint may have been drained meanwhile, or the deduplication window
         // may be over.
-        match still_wanted() {
-            Ok(()) => {}
-            // The request may go elsewhere.
-            Err(WithheldReason::EndpointWithdrawn) => {
-                return AttemptEnd::without_response(AttemptOutcome::ConnectFailed);
-            }
-            Err(_) => return AttemptEnd::without_response(AttemptOutcome::NotSent),
+        if let Err(reason) = still_wanted() {
+            return AttemptEnd::without_response(outcome_of_withheld(reason));
         }
         let before = Carried::by(&connection);
         let received = exchange(attempt, &mut connection).await;
@@ -168,6 +163,15 @@
     }
 }
 
+/// How an attempt counts that was withheld after its connection was made.
+fn outcome_of_withheld(reason: WithheldReason) -> AttemptOutcome {
+    match reason {
+        // The request may go to another endpoint.
+        WithheldReason::EndpointWithdrawn => AttemptOutcome::ConnectFailed,
+        _ => AttemptOutcome::NotSent,
+    }
+}
+
 /// What the silence of an endpoint proves.
 fn outcome_of_silence(
     attempt: &Attempt,
@@ -204,7 +208,7 @@
     }
     // What was written may have run.
     match error {
-        ExchangeError::Spoilt => AttemptOutcome::ErrorResponse,
+        ExchangeError::Malformed => AttemptOutcome::ErrorResponse,
         ExchangeError::Broken(_) => AttemptOutcome::ConnectionReset,
     }
 }
--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -35,7 +35,7 @@
     Broken(hyper::Error),
     /// Something came that is no response. The sender is there, and may have run the request.
     #[error("what came is no answer")]
-    Spoilt,
+    Malformed,
 }
 
 impl From<hyper::Error> for ExchangeError {
@@ -44,7 +44,7 @@
         let reading = error.source().and_then(|source| source.downcast_ref::<io::Error>());
         let is_garbled =
             reading.is_some_and(|e| matches!(e.kind(), ErrorKind::InvalidInput | ErrorKind::InvalidData));
-        if error.is_parse() || is_garbled { ExchangeError::Spoilt } else { ExchangeError::Broken(error) }
+        if error.is_parse() || is_garbled { ExchangeError::Malformed } else { ExchangeError::Broken(error) }
     }
 }
 
@@ -58,7 +58,7 @@
 /// The first part of a body, and whether that is all of it.
 struct FirstPart {
     bytes: Bytes,
-    is_whole: bool,
+    is_complete: bool,
 }
 
 type HttpConnection = Pin<Box<Connection<TokioIo<Socket>, UpstreamBody>>>;
@@ -142,31 +142,31 @@
     ) -> Result<ReceivedResponse, ExchangeError> {
         let (head, mut body) = self.send(request, MAX_BODY).await?.into_parts();
         let first = self.first_part(&mut body).await?;
-        Ok(ReceivedResponse { head, first: first.bytes, rest: Some(body).filter(|_| !first.is_whole) })
+        Ok(ReceivedResponse { head, first: first.bytes, rest: Some(body).filter(|_| !first.is_complete) })
     }
 
     /// Reads a body to its end, or as far as it is buffered and for as long as it is waited for.
     async fn first_part(&mut self, body: &mut Incoming) -> Result<FirstPart, ExchangeError> {
         let has_unknown_length = body.size_hint().exact().is_none();
         if body.size_hint().lower() > MAX_BUFFERED_BODY as u64 {
-            return Ok(FirstPart { bytes: Bytes::new(), is_whole: false });
+            return Ok(FirstPart { bytes: Bytes::new(), is_complete: false });
         }
         let begun_at = Instant::now();
         let mut buffered = BytesMut::new();
         loop {
             let frame = UpstreamConnection::drive(&mut self.connection, body.frame());
             let frame = tokio::time::timeout(SHORT_RESPONSE_STALL_TIMEOUT, frame).await;
-            let Some(frame) = frame.map_err(|_| ExchangeError::Spoilt)? else { break };
+            let Some(frame) = frame.map_err(|_| ExchangeError::Malformed)? else { break };
             if let Ok(data) = frame?.into_data() {
                 buffered.extend_from_slice(&data);
             }
             let is_late = has_unknown_length && begun_at.elapsed() > UNKNOWN_LENGTH_BUFFER_TIME;
             if buffered.len() > MAX_BUFFERED_BODY || is_late {
-                return Ok(FirstPart { bytes: buffered.freeze(), is_whole: false });
+                return Ok(FirstPart { bytes: buffered.freeze(), is_complete: false });
             }
         }
         self.turn_once().await;
-        Ok(FirstPart { bytes: buffered.freeze(), is_whole: true })
+        Ok(FirstPart { bytes: buffered.freeze(), is_complete: true })
     }
 
     /// Sends one request and reads its whole response, with a body of `max_body` bytes at most, which is
@@ -187,9 +187,9 @@
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) => {
                 let broken = error.downcast::<hyper::Error>();
-                return Err(broken.map_or(ExchangeError::Spoilt, |error| (*error).into()));
+                return Err(broken.map_or(ExchangeError::Malformed, |error| (*error).into()));
             }
-            Err(_) => return Err(ExchangeError::Spoilt),
+            Err(_) => return Err(ExchangeError::Malformed),
         };
         self.turn_once().await;
         Ok(Response::from_parts(head, body))
@@ -212,5 +212,5 @@
     let has_both = headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH);
     let is_framed = !has_both || body.size_hint().exact() == Some(0);
     let fits = body.size_hint().lower() <= max_body as u64;
-    if is_framed && fits { Ok(()) } else { Err(ExchangeError::Spoilt) }
+    if is_framed && fits { Ok(()) } else { Err(ExchangeError::Malformed) }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -39,8 +39,8 @@
 /// Standard deviations that are added to the in-flight limit, because chance alone exceeds a limit of a few
 /// requests.
 const IN_FLIGHT_DEVIATIONS: f64 = 3.0;
-/// Part of the in-flight limit that the requests of lowest value may not use.
-const RESERVED_FOR_WORTHIER: f64 = 0.3;
+/// Part of the in-flight limit that the requests of the lowest value may not use.
+const RESERVED_FOR_HIGHER_RANKS: f64 = 0.3;
 /// A class whose served share is within this of the lowest counts, in part, as the worst-served.
 const WORST_CLASS_MARGIN: f64 = 0.05;
 /// Smallest divisor, against division by zero.
@@ -178,19 +178,19 @@
         rng: &mut fastrand::Rng,
     ) -> Result<(), RejectionReason> {
         let Candidate { class, freshness, cost_ms, weight } = candidate;
-        let is_worthless = weight <= 0.0;
+        let has_no_value = weight <= 0.0;
         let Some(strata) = self.strata.get_mut(class) else {
-            return if is_worthless { Err(RejectionReason::ObjectiveMissed) } else { Ok(()) };
+            return if has_no_value { Err(RejectionReason::ObjectiveMissed) } else { Ok(()) };
         };
         let stratum = &mut strata[freshness as usize];
         stratum.offered_ms += cost_ms;
         let Stratum { admission_chance, in_flight_part, .. } = *stratum;
-        let is_shed = !is_worthless && admission_chance < 1.0 && rng.f64() >= admission_chance;
+        let is_shed = !has_no_value && admission_chance < 1.0 && rng.f64() >= admission_chance;
         let limit = self.in_flight_limit(fleet, settings.node_count) * in_flight_part;
         let is_at_limit =
             settings.load_reporting != LoadReporting::None && f64::from(fleet.in_flight) + 1.0 > limit;
         self.in_flight_limit_hit |= is_at_limit;
-        if is_worthless {
+        if has_no_value {
             Err(RejectionReason::ObjectiveMissed)
         } else if is_shed {
             Err(RejectionReason::LoadShed)
@@ -224,7 +224,7 @@
         self.move_level(seconds);
         self.move_in_flight_limit(seconds);
         self.evidence.fade(seconds);
-        self.assign_chances(&self.by_worth(settings, classes), seconds);
+        self.assign_chances(&self.ranked_strata(settings, classes), seconds);
     }
 
     fn estimate_overload(&mut self, seconds: f64, fleet: FleetView, node_count: u32) {
@@ -268,7 +268,7 @@
     }
 
     /// All strata, ordered by the value gained per unit of work, highest first.
-    fn by_worth(&self, settings: &Settings, classes: &[ClassStatistics]) -> Vec<RankedStratum> {
+    fn ranked_strata(&self, settings: &Settings, classes: &[ClassStatistics]) -> Vec<RankedStratum> {
         let weights = settings.objective_weights;
         let lowest_served = classes.iter().map(ClassStatistics::served_share).fold(1.0, f64::min);
         let classes = || classes.iter().zip(&settings.classes);
@@ -287,36 +287,36 @@
                     Freshness::InTime => 1.0,
                     Freshness::TooOld => settings.over_quota_weight_factor,
                 };
-                let worth = class.priority_weight * gain * factor / work;
-                ranked.push(RankedStratum { worth, class: index, freshness });
+                let value_per_work = class.priority_weight * gain * factor / work;
+                ranked.push(RankedStratum { value_per_work, class: index, freshness });
             }
         }
-        ranked.sort_by(|a, b| b.worth.total_cmp(&a.worth));
+        ranked.sort_by(|a, b| b.value_per_work.total_cmp(&a.value_per_work));
         ranked
     }
 
     /// Distributes the admission level over the strata in that order, and decays the offered work.
     fn assign_chances(&mut self, ranked: &[RankedStratum], seconds: f64) {
-        let kept = (-seconds / OFFERED_MEMORY_SECONDS).exp();
+        let retained = (-seconds / OFFERED_MEMORY_SECONDS).exp();
         let offered = |strata: &[Stratum; 2]| strata[0].offered_ms + strata[1].offered_ms;
         let mut left_ms = self.level * self.strata.iter().map(offered).sum::<f64>();
         let last = ranked.len().max(2) as f64 - 1.0;
         for (rank, RankedStratum { class, freshness, .. }) in ranked.iter().enumerate() {
             let stratum = &mut self.strata[*class][*freshness as usize];
-            stratum.in_flight_part = 1.0 - RESERVED_FOR_WORTHIER * rank as f64 / last;
+            stratum.in_flight_part = 1.0 - RESERVED_FOR_HIGHER_RANKS * rank as f64 / last;
             let offered_ms = stratum.offered_ms;
             let fits = offered_ms <= left_ms || offered_ms <= 0.0;
             stratum.admission_chance = if fits { 1.0 } else { left_ms / offered_ms };
             left_ms = (left_ms - offered_ms).max(0.0);
-            stratum.offered_ms *= kept;
+            stratum.offered_ms *= retained;
         }
     }
 }
 
-/// A stratum and the value gained by admitting it, per unit of work.
+/// A stratum, and the value gained by admitting it per unit of work.
 #[derive(Clone, Copy, Debug)]
 struct RankedStratum {
-    worth: f64,
+    value_per_work: f64,
     class: usize,
     freshness: Freshness,
 }
@@ -329,9 +329,9 @@
     }
 
     fn fade(&mut self, seconds: f64) {
-        let kept = (-seconds / EVIDENCE_MEMORY_SECONDS).exp();
-        self.good *= kept;
-        self.bad *= kept;
-        self.outcomes *= kept;
+        let retained = (-seconds / EVIDENCE_MEMORY_SECONDS).exp();
+        self.good *= retained;
+        self.bad *= retained;
+        self.outcomes *= retained;
     }
 }
--- a/src/policy/endpoint_set.rs
+++ b/src/policy/endpoint_set.rs
@@ -319,13 +319,13 @@
 
     /// Brings what fades and what fills up to date.
     pub fn decay(&mut self, now_ms: f64, seconds: f64, budget: &SlowStartBudget) {
-        let busy_kept = (-seconds * 1000.0 / MEMORY_MS).exp();
-        let served_kept = (-seconds).exp();
+        let busy_retained = (-seconds * 1000.0 / MEMORY_MS).exp();
+        let served_retained = (-seconds).exp();
         for endpoint in &mut self.endpoints {
             let tokens = budget.tokens(now_ms, &endpoint.slow_start, endpoint.served_per_second);
             endpoint.slow_start.set_tokens(now_ms, tokens);
-            endpoint.busy_ms *= busy_kept;
-            endpoint.served_per_second *= served_kept;
+            endpoint.busy_ms *= busy_retained;
+            endpoint.served_per_second *= served_retained;
         }
     }
 
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether the node itself ended or withheld the attempt, which says nothing of the endpoint.
-    pub(super) fn is_own_doing(self) -> bool {
+    pub(super) fn was_ended_by_node(self) -> bool {
         matches!(self, AttemptOutcome::Cancelled | AttemptOutcome::NotSent)
     }
 }
--- a/src/policy/failure_record.rs
+++ b/src/policy/failure_record.rs
@@ -64,7 +64,7 @@
         self.congested
     }
 
-    /// When the first trial may be sent, in milliseconds on the balancer's clock; of meaning while
+    /// When the first trial may be sent, in milliseconds on the balancer's clock; meaningful only while
     /// congested.
     pub fn prat_ms(&self) -> f64 {
         self.prat_ms
--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -1,7 +1,7 @@
 //! What the end of an attempt says of its endpoint, its class and the fleet.
 //!
-//! One outcome feeds several estimates, and some outcomes say nothing: what the node itself cancelled, what
-//! a client in a hurry did not wait for, what one class alone suffers. This module decides who learns from
+//! One outcome feeds several estimates, and some outcomes say nothing of the endpoint: attempts that the
+//! node itself cancelled, timeouts at a short client deadline, failures of one class alone. This module decides who learns from
 //! what; each estimate is kept by its own module.
 
 use super::action::Action;
@@ -36,7 +36,7 @@
     pub in_objective: bool,
     pub elapsed_ms: f64,
     pub timeout_ms: f64,
-    /// What its client left it, in milliseconds.
+    /// Time until the client's deadline when it was sent, in milliseconds.
     pub allowed_ms: f64,
     /// Value of an answer to its request.
     pub weight: f64,
@@ -55,7 +55,7 @@
         let endpoint = &mut self.endpoints[index];
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         endpoint.busy_ms += ended.elapsed_ms;
-        self.watch_connections(now_ms, index, ended, actions);
+        self.close_idle_if_scarce(now_ms, index, ended, actions);
         self.learn_utilization(now_ms, index, ended, load);
         if ended.is_trial {
             self.end_trial(now_ms, index, ended, actions);
@@ -70,7 +70,7 @@
     }
 
     /// Closes idle connections where connections are scarce.
-    fn watch_connections(
+    fn close_idle_if_scarce(
         &mut self,
         now_ms: f64,
         index: usize,
@@ -100,10 +100,10 @@
         }
     }
 
-    /// A trial is over. Any answer at all shows that the endpoint can be reached; one that was called off
-    /// says nothing.
+    /// A trial is over. Any answer at all shows that the endpoint can be reached; a trial that the node
+    /// cancelled or did not send says nothing.
     fn end_trial(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt, actions: &mut Vec<Action>) {
-        if ended.outcome.is_own_doing() {
+        if ended.outcome.was_ended_by_node() {
             self.endpoints[index].failures.trial_abandoned();
             return;
         }
@@ -141,11 +141,11 @@
         if ended.in_objective {
             self.endpoints[index].served_per_second += 1.0;
         }
-        // What was called off, or garbled on its way, says nothing of load.
-        if ended.outcome.is_own_doing() || ended.outcome == AttemptOutcome::ErrorResponse {
+        // An attempt that the node ended, or a malformed response, says nothing of load.
+        if ended.outcome.was_ended_by_node() || ended.outcome == AttemptOutcome::ErrorResponse {
             return;
         }
-        if self.concerns_class_alone(now_ms, index, ended) {
+        if self.record_class_outcome(now_ms, index, ended) {
             return;
         }
         // A timeout at a short client deadline says nothing about the endpoint; a silent endpoint shows by
@@ -165,7 +165,8 @@
         statistics.is_some_and(|class| class.is_short_deadline(ended.allowed_ms, objective_ms))
     }
 
-    /// Timeouts count as answers that took at least so long: without them, n would become ever shorter.
+    /// Timeouts count as answers that took at least so long: without them the short timeout n, which is
+    /// estimated from these times, would become ever shorter.
     fn learn_answer_time(&mut self, ended: &EndedAttempt, has_short_deadline: bool) {
         let tells_time = matches!(ended.outcome, AttemptOutcome::Answered | AttemptOutcome::TimedOut);
         if let Some(class) = self.classes.get_mut(ended.class)
@@ -176,13 +177,13 @@
         }
     }
 
-    /// Notes how the class fares at the endpoint. True if this is a failure that the class suffers there
-    /// while others are served, which says nothing of the endpoint.
-    fn concerns_class_alone(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt) -> bool {
+    /// Records whether the class was served at the endpoint. True if this is a failure that the class has
+    /// there while others are served, which says nothing of the endpoint.
+    fn record_class_outcome(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt) -> bool {
         // Connections belong to no class.
-        let of_connection =
+        let is_connection_failure =
             matches!(ended.outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset);
-        let Some(class) = self.classes.get_mut(ended.class).filter(|_| !of_connection) else {
+        let Some(class) = self.classes.get_mut(ended.class).filter(|_| !is_connection_failure) else {
             return false;
         };
         let failed = f64::from(u8::from(!ended.in_objective));
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -1,7 +1,7 @@
 //! The life of a request: arrival, attempts, their ends, and the final answer.
 //!
-//! Every attempt passes the [`SendGate`], every rejection [`Balancer::reject_or_fail`]. There the rules are
-//! kept, whatever the rest decides.
+//! Every attempt passes the [`SendGate`], every rejection [`Balancer::reject_or_fail`]: these two enforce
+//! the rules that must hold whatever the other modules decide.
 
 use super::action::{Action, RejectionReason};
 use super::admission::{Candidate, FleetView, Freshness};
@@ -24,7 +24,7 @@
 
 /// How an attempt ended, as the host reports it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AttemptEnd {
+pub(super) struct ReportedEnd {
     pub id: RequestId,
     pub attempt: u32,
     pub outcome: AttemptOutcome,
@@ -32,7 +32,7 @@
     pub elapsed_ms: f64,
 }
 
-/// What a request's class asks of it. A class that is not known has only the client's deadline.
+/// The settings of a request's class. For an unknown class the client's deadline stands in.
 #[derive(Clone, Copy, Debug)]
 struct ClassTerms {
     objective_ms: f64,
@@ -109,8 +109,7 @@
         age_ms
     }
 
-    /// The work that a request brings, in milliseconds: as its client estimates it, or as its class usually
-    /// has it.
+    /// The work of a request, in milliseconds: its client's estimate, or else the mean of its class.
     fn cost_ms(&self, request: &Request) -> f64 {
         let usual = self.classes.get(request.class).map_or(1.0, |class| class.mean_ms());
         request.estimated_cost_ms.filter(|cost| cost.is_finite() && *cost > 0.0).unwrap_or(usual)
@@ -195,8 +194,8 @@
         }
     }
 
-    /// The gate of every final answer that is none of an endpoint's: a request is rejected where the
-    /// promise holds that trying again does no harm, and failed where it does not.
+    /// Ends a request that no endpoint answered: rejects it if trying again does no harm, fails it
+    /// otherwise. Every rejection and failure is decided here.
     fn reject_or_fail(
         &mut self,
         now_ms: f64,
@@ -248,7 +247,7 @@
     pub(super) fn on_attempt_ended(
         &mut self,
         now_ms: f64,
-        end: AttemptEnd,
+        end: ReportedEnd,
         load: &LoadReport,
         actions: &mut Vec<Action>,
     ) {
@@ -259,11 +258,11 @@
         {
             class.record_served();
         }
-        self.go_on(now_ms, end, actions);
+        self.retry_or_finish(now_ms, end, actions);
     }
 
-    /// Puts an attempt that ended away; none where it was not in flight.
-    fn close_attempt(&mut self, now_ms: f64, end: &AttemptEnd) -> Option<EndedAttempt> {
+    /// Marks an attempt as ended, and says what is learned from it; none where it was not in flight.
+    fn close_attempt(&mut self, now_ms: f64, end: &ReportedEnd) -> Option<EndedAttempt> {
         let pending = self.requests.get_mut(&end.id)?;
         let attempt = pending.attempts.get_mut(end.attempt as usize).filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
@@ -287,11 +286,11 @@
         })
     }
 
-    /// After the end of an attempt: the request is over, or is tried again, or is given up.
+    /// After the end of an attempt: the request is finished, retried, or given up.
     ///
-    /// What may have run and must not run twice is over without a look for an endpoint, which would take
-    /// from the budgets of others and count as a fleet with no usable endpoint.
-    fn go_on(&mut self, now_ms: f64, end: AttemptEnd, actions: &mut Vec<Action>) {
+    /// A request that may have run and must not run twice is given up before the retry budget and selection
+    /// see it: it would use up budget, and count as a fleet with no usable endpoint.
+    fn retry_or_finish(&mut self, now_ms: f64, end: ReportedEnd, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&end.id).filter(|pending| !pending.has_attempt_in_flight())
         else {
             return;
