--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn a_request_that_went_well_breaks_nothing() {
+fn a_served_request_breaks_no_rule() {
     for class in RequestClass::ALL {
         assert_eq!(rules(&record(request(class), vec![attempt()])), []);
     }
 }
 
 #[test]
-fn an_answer_that_is_late_cut_or_missing_is_a_loss() {
+fn a_late_truncated_or_missing_answer_is_a_loss() {
     let late =
         ClientRequest { answer: Some(answer(11.7, 502, String::new())), ..request(RequestClass::View) };
     assert_eq!(rules(&record(late, vec![])), [Rule::Lost]);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_a_killed_process_had_is_no_loss_and_what_an_ended_one_had_is() {
+fn requests_of_a_killed_process_are_no_loss_and_those_of_an_ended_one_are() {
     for (killed, expected) in [(true, vec![]), (false, vec![Rule::Lost])] {
         let closed = ClientRequest {
             answer: None,
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn what_runs_again_against_its_class_is_a_duplicate() {
+fn a_repeat_that_the_class_forbids_is_a_duplicate() {
     let again = |later: f64| ServerAttempt {
         first_byte_at: 10.1 + later,
         complete_at: 10.1 + later,
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn what_goes_to_a_server_that_leaves_breaks_the_drain() {
+fn a_request_to_a_draining_endpoint_breaks_the_drain_rule() {
     let with = |told: ChangeRecord| {
         let record = record(request(RequestClass::View), vec![attempt()]);
         record.changes.lock().unwrap().push(told);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn what_goes_to_a_banned_server_breaks_a_done() {
+fn a_request_to_a_disabled_endpoint_breaks_an_acknowledged_override() {
     for (until, expected) in [(f64::INFINITY, vec![Rule::Done]), (9.9, vec![])] {
         let record = record(request(RequestClass::View), vec![attempt()]);
         record.disabled.lock().unwrap().push(DisabledPeriod { node: 0, server: 3, from: 9.0, until });
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_cold_server_that_gets_too_much_is_seen_also_from_many_nodes() {
+fn an_overloaded_restarted_endpoint_is_seen_across_nodes() {
     let flood = |count: usize| {
         let record = Record::new(Instant::now());
         for n in 0..count {
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn what_is_sent_for_a_client_that_has_gone_or_with_too_much_time_is_seen() {
+fn attempts_for_a_client_that_left_or_with_too_much_time_are_seen() {
     let left =
         ClientRequest { answer: None, left_at: Some(9.7), sent_at: 9.6, ..request(RequestClass::View) };
     assert_eq!(rules(&record(left, vec![ServerAttempt { timeout: None, ..attempt() }])), [Rule::Gone]);
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn answers_that_no_server_made_and_refusals_that_may_do_harm_are_seen() {
+fn invented_answers_and_harmful_rejections_are_seen() {
     let made_up = ClientRequest { answer: Some(answer(10.3, 200, body(5))), ..request(RequestClass::View) };
     assert_eq!(rules(&record(made_up, vec![attempt()])), [Rule::Truth]);
     let refused =
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn too_many_attempts_late_starts_and_what_was_seen_at_once_count() {
+fn too_many_attempts_and_late_starts_are_seen() {
     let many = vec![attempt(); MAX_ATTEMPTS + 1];
     assert_eq!(rules(&record(request(RequestClass::View), many)), [Rule::Attempts]);
     let record = record(request(RequestClass::View), vec![attempt()]);
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn every_setting_of_the_wire_page_is_carried() {
+fn every_setting_is_read() {
     let text = r#"{"areas": ["a"], "zone": "a", "slotNo": 4, "weights": "live", "worthBy": "work",
         "blend": {"whole": 0.4, "ninesPart": 0.2, "fullAtNines": 2.5},
         "classes": [{"name": "x", "hardLimitMs": 900, "aimStretch": 1.5}],
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_said() {
+fn errors_name_what_is_wrong() {
     let mut n = codec();
     let said = |n: &mut Codec, l: &str| read(n, l).err().map(|e| e.to_string()).unwrap_or_default();
     assert_eq!(said(&mut n, "left who=3"), "field requestId: missing");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn actions_are_written_with_the_names_that_were_heard() {
+fn actions_are_written_with_the_received_names() {
     let mut n = codec();
     let entry = n
         .read_endpoint(&Message::parse("backend locality=a health=U backend=b1").expect("a line"))
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn cut_and_garbled_lines_never_panic() {
+fn truncated_and_malformed_lines_never_panic() {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]));
     let input = (0..LINES.len(), any::<prop::sample::Index>(), "\\PC{0,40}", 0_usize..5000);
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -2,7 +2,7 @@
 //! answers at once up to the rate that it can do, late beyond, and what is counted is what the nodes send.
 mod common;
 
-use common::{settings, up};
+use common::{active_endpoint, settings};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use wheelpath::policy::Balancer;
@@ -113,7 +113,7 @@
         ..settings()
     };
     let mut rng = fastrand::Rng::with_seed(seed);
-    let cold = up(1).endpoint;
+    let cold = active_endpoint(1).endpoint;
     let end = START + s.slow_start_ms;
     let mut order = 0;
     let mut due: BinaryHeap<Reverse<Due>> = BinaryHeap::new();
@@ -122,7 +122,7 @@
         due.push(Reverse(Due(at, order, node, what)));
     };
     let mut nodes: Vec<Balancer> = Vec::new();
-    let everyone: Vec<EndpointUpdate> = (1..=fleet.warm + 1).map(up).collect();
+    let everyone: Vec<EndpointUpdate> = (1..=fleet.warm + 1).map(active_endpoint).collect();
     let mut out = Vec::new();
     for n in 0..fleet.nodes as usize {
         nodes.push(Balancer::new(s.clone(), seed * 1000 + n as u64).unwrap());
@@ -208,9 +208,11 @@
                     _ if fleet.opening => {
                         everyone.iter().map(|e| EndpointUpdate { started_at_ms: START, ..*e }).collect()
                     }
-                    (0, _) | (_, None) => vec![EndpointUpdate { started_at_ms: START, ..up(1) }],
+                    (0, _) | (_, None) => {
+                        vec![EndpointUpdate { started_at_ms: START, ..active_endpoint(1) }]
+                    }
                     (_, Some((_, gone))) => (2..2 + gone)
-                        .map(|n| EndpointUpdate { state: EndpointState::Removed, ..up(n) })
+                        .map(|n| EndpointUpdate { state: EndpointState::Removed, ..active_endpoint(n) })
                         .collect(),
                 };
                 nodes[node].handle(
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A small world around one balancer that checks the four rules at every action. It simulates no servers:
-//! tests say what happens.
+//! A balancer under test with its surroundings, which checks the four rules at every action.
+//!
+//! It simulates no endpoints: tests say what happens, and when.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -73,79 +74,90 @@
 }
 
 /// The operators' proof that an attempt never ran, written here again so that the module is not its own judge.
-fn proven(outcome: Option<AttemptOutcome>) -> bool {
+fn proves_not_executed(outcome: Option<AttemptOutcome>) -> bool {
     matches!(
         outcome,
         Some(AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent | AttemptOutcome::Rejected)
     )
 }
 
+/// How a request ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Answer {
+    Served,
+    Rejected,
+    Failed,
+    ClientLeft,
+}
+
+/// An attempt that the balancer ordered.
 #[derive(Debug)]
-pub struct Sent {
+pub struct TrackedAttempt {
     pub endpoint: EndpointId,
-    pub at: f64,
-    pub ends: f64,
+    pub sent_at_ms: f64,
+    pub times_out_at_ms: f64,
     pub outcome: Option<AttemptOutcome>,
 }
 
+/// A request that the balancer was given.
 #[derive(Debug)]
-pub struct Asked {
+pub struct TrackedRequest {
     pub request: Request,
-    pub attempts: Vec<Sent>,
-    /// "done", "refused", "failed" or "left".
-    pub answer: Option<&'static str>,
-    /// From when on its times count.
-    pub whole_at: f64,
+    pub attempts: Vec<TrackedAttempt>,
+    pub answer: Option<Answer>,
+    /// When its last byte came: its times count from there.
+    pub body_complete_at_ms: f64,
 }
 
-pub struct World {
-    pub s: Settings,
+/// One balancer, and the clock, endpoint list, clients and timers around it.
+pub struct TestNode {
+    pub settings: Settings,
     pub balancer: Balancer,
-    pub now: f64,
-    pub list: BTreeMap<EndpointId, EndpointUpdate>,
-    pub asked: BTreeMap<RequestId, Asked>,
+    pub now_ms: f64,
+    pub listed: BTreeMap<EndpointId, EndpointUpdate>,
+    pub requests: BTreeMap<RequestId, TrackedRequest>,
     pub timers: Vec<(f64, u64)>,
     pub logs: Vec<String>,
-    pub watches: Vec<f64>,
-    /// Last release of the idle connections to a backend.
-    pub released: BTreeMap<EndpointId, f64>,
-    /// Backends that are out of service by a call.
-    pub out: BTreeSet<EndpointId>,
+    pub polls_at_ms: Vec<f64>,
+    /// When idle connections to an endpoint were last closed.
+    pub idle_closed_at_ms: BTreeMap<EndpointId, f64>,
+    /// Endpoints that operators have disabled.
+    pub disabled: BTreeSet<EndpointId>,
     pub trace: Vec<Action>,
-    next: u64,
+    next_id: u64,
 }
 
-impl World {
-    pub fn new(s: Settings, seed: u64) -> World {
-        let balancer = Balancer::new(s.clone(), seed).expect("usable settings");
-        let mut w = World {
-            s,
+impl TestNode {
+    pub fn new(settings: Settings, seed: u64) -> TestNode {
+        let balancer = Balancer::new(settings.clone(), seed).expect("usable settings");
+        let mut node = TestNode {
+            settings,
             balancer,
-            now: 1000.0,
-            list: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            now_ms: 1000.0,
+            listed: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timers: Vec::new(),
             logs: Vec::new(),
-            watches: Vec::new(),
-            released: BTreeMap::new(),
-            out: BTreeSet::new(),
+            polls_at_ms: Vec::new(),
+            idle_closed_at_ms: BTreeMap::new(),
+            disabled: BTreeSet::new(),
             trace: Vec::new(),
-            next: 0,
+            next_id: 0,
         };
-        w.feed(Event::Start);
-        w
+        node.feed(Event::Start);
+        node
     }
 
-    pub fn with_backends(s: Settings, seed: u64, count: u64) -> World {
-        let mut w = World::new(s, seed);
-        let endpoints = (1..=count).map(up).collect();
-        w.list(WatchUpdate::Snapshot, endpoints);
-        w
+    pub fn with_endpoints(s: Settings, seed: u64, count: u64) -> TestNode {
+        let mut node = TestNode::new(s, seed);
+        let endpoints = (1..=count).map(active_endpoint).collect();
+        node.apply_list(WatchUpdate::Snapshot, endpoints);
+        node
     }
 
     pub fn feed(&mut self, event: Event) {
         let mut out = Vec::new();
-        self.balancer.handle(self.now, event, &mut out);
+        self.balancer.handle(self.now_ms, event, &mut out);
         for action in &out {
             self.check(action);
         }
@@ -160,43 +172,52 @@
                 self.record_send(*id, *endpoint, *timeout_ms);
             }
             Action::Reject { id, retry_after_ms, .. } => self.check_rejection(*id, *retry_after_ms),
-            Action::Fail { id, .. } => self.answered(*id, "failed"),
+            Action::Fail { id, .. } => self.record_answer(*id, Answer::Failed),
             Action::CancelAttempt { id, attempt } => {
-                assert!(self.s.cancellation_allowed, "cancelling is not allowed");
-                assert!(self.asked[id].attempts.len() > *attempt as usize, "an attempt never made");
+                assert!(self.settings.cancellation_allowed, "cancelling is not allowed");
+                assert!(self.requests[id].attempts.len() > *attempt as usize, "an attempt never made");
             }
             Action::Timer { token, at_ms } => self.timers.push((*at_ms, *token)),
             Action::CloseIdleConnections(endpoint) => {
-                assert!(self.list.contains_key(endpoint), "released one that no list has named");
-                self.released.insert(*endpoint, self.now);
+                assert!(
+                    self.listed.contains_key(endpoint),
+                    "idle connections closed to an endpoint that no list has named"
+                );
+                self.idle_closed_at_ms.insert(*endpoint, self.now_ms);
             }
             Action::SendPeerMessage { .. } => {
-                assert!(self.s.peer_messages_allowed, "messages are not allowed")
+                assert!(self.settings.peer_messages_allowed, "messages are not allowed")
             }
             Action::Log(event) => self.logs.push(event.to_string()),
-            Action::SetWatch(_) => self.watches.push(self.now),
+            Action::SetWatch(_) => self.polls_at_ms.push(self.now_ms),
         }
     }
 
     fn check_send(&self, id: RequestId, endpoint: EndpointId, begin_within_ms: f64) {
-        let asked = self.asked.get(&id).expect("a known request");
-        assert!(asked.answer.is_none(), "rule 1: sent after its end");
-        assert!(asked.attempts.len() < self.s.max_attempts as usize, "more attempts than allowed");
-        let entry = self.list.get(&endpoint).expect("an endpoint that the list has named");
-        assert_eq!(entry.state, EndpointState::Active, "rule 3: sent to one that drains or is gone");
-        assert!(!self.out.contains(&endpoint), "rule 3: sent to one that is out of service");
-        let is_any_in_flight = asked.attempts.iter().any(|attempt| attempt.outcome.is_none());
-        assert!(self.s.hedging_allowed || !is_any_in_flight, "rule 2: two attempts at once");
-        if let Some(ran) = asked.attempts.iter().find(|attempt| !proven(attempt.outcome)) {
-            let may_repeat = self.may_repeat(asked, ran, entry, begin_within_ms);
+        let tracked = self.requests.get(&id).expect("a known request");
+        assert!(tracked.answer.is_none(), "rule 1: sent after its end");
+        assert!(tracked.attempts.len() < self.settings.max_attempts as usize, "more attempts than allowed");
+        let entry = self.listed.get(&endpoint).expect("an endpoint that the list has named");
+        assert_eq!(entry.state, EndpointState::Active, "rule 3: sent to a draining or removed endpoint");
+        assert!(!self.disabled.contains(&endpoint), "rule 3: sent to a disabled endpoint");
+        let is_any_in_flight = tracked.attempts.iter().any(|attempt| attempt.outcome.is_none());
+        assert!(self.settings.hedging_allowed || !is_any_in_flight, "rule 2: two attempts at once");
+        if let Some(ran) = tracked.attempts.iter().find(|attempt| !proves_not_executed(attempt.outcome)) {
+            let may_repeat = self.may_repeat(tracked, ran, entry, begin_within_ms);
             assert!(may_repeat, "rule 2: sent again though it may have run");
         }
     }
 
     /// Whether a request may be sent to an endpoint, after an attempt that may have run.
-    fn may_repeat(&self, asked: &Asked, ran: &Sent, to: &EndpointUpdate, begin_within_ms: f64) -> bool {
-        let class = self.s.classes.get(asked.request.class);
-        let first = &self.list[&ran.endpoint];
+    fn may_repeat(
+        &self,
+        tracked: &TrackedRequest,
+        ran: &TrackedAttempt,
+        to: &EndpointUpdate,
+        begin_within_ms: f64,
+    ) -> bool {
+        let class = self.settings.classes.get(tracked.request.class);
+        let first = &self.listed[&ran.endpoint];
         match class.map_or(Idempotency::NotIdempotent, |class| class.idempotency) {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => false,
@@ -209,114 +230,133 @@
                 // It may wait for a connection, and begins by then or not at all.
                 let window = class.map_or(0.0, |class| class.deduplication_window_ms);
                 is_covered
-                    && self.now <= ran.at + window
-                    && self.now + begin_within_ms <= ran.at + window + 1e-6
+                    && self.now_ms <= ran.sent_at_ms + window
+                    && self.now_ms + begin_within_ms <= ran.sent_at_ms + window + 1e-6
             }
         }
     }
 
     fn record_send(&mut self, id: RequestId, endpoint: EndpointId, timeout_ms: f64) {
-        let asked = self.asked.get_mut(&id).expect("a known request");
-        let deadline = asked.request.deadline_ms;
-        let ends = if timeout_ms > 0.0 { self.now + timeout_ms } else { deadline };
-        asked.attempts.push(Sent { endpoint, at: self.now, ends: ends.min(deadline), outcome: None });
+        let tracked = self.requests.get_mut(&id).expect("a known request");
+        let deadline = tracked.request.deadline_ms;
+        let ends = if timeout_ms > 0.0 { self.now_ms + timeout_ms } else { deadline };
+        tracked.attempts.push(TrackedAttempt {
+            endpoint,
+            sent_at_ms: self.now_ms,
+            times_out_at_ms: ends.min(deadline),
+            outcome: None,
+        });
     }
 
     fn check_rejection(&mut self, id: RequestId, retry_after_ms: f64) {
-        assert!(retry_after_ms <= self.s.max_retry_after_ms, "advice above the most");
-        assert!(self.s.retry_after || retry_after_ms == 0.0, "advice where none is sent");
-        let asked = self.asked.get(&id).expect("a known request");
-        let class = self.s.classes.get(asked.request.class);
+        assert!(retry_after_ms <= self.settings.max_retry_after_ms, "advice above the maximum");
+        assert!(self.settings.retry_after || retry_after_ms == 0.0, "advice where none is sent");
+        let tracked = self.requests.get(&id).expect("a known request");
+        let class = self.settings.classes.get(tracked.request.class);
         let idempotency = class.map_or(Idempotency::NotIdempotent, |class| class.idempotency);
-        let never_ran = asked.attempts.iter().all(|attempt| proven(attempt.outcome));
+        let never_ran = tracked.attempts.iter().all(|attempt| proves_not_executed(attempt.outcome));
         let is_harmless = never_ran
             || matches!(
                 idempotency,
                 Idempotency::Idempotent | Idempotency::WithKey(DeduplicationScope::All)
             );
-        assert!(is_harmless, "rule 2: refused though it may have run");
-        self.answered(id, "refused");
+        assert!(is_harmless, "rule 2: rejected though it may have run");
+        self.record_answer(id, Answer::Rejected);
     }
 
-    fn answered(&mut self, id: RequestId, answer: &'static str) {
-        let asked = self.asked.get_mut(&id).expect("a known request");
-        assert!(asked.answer.is_none(), "rule 1: two answers");
-        asked.answer = Some(answer);
+    fn record_answer(&mut self, id: RequestId, answer: Answer) {
+        let tracked = self.requests.get_mut(&id).expect("a known request");
+        assert!(tracked.answer.is_none(), "rule 1: two answers");
+        tracked.answer = Some(answer);
     }
 
-    pub fn list(&mut self, kind: WatchUpdate, endpoints: Vec<EndpointUpdate>) {
-        if matches!(kind, WatchUpdate::Snapshot | WatchUpdate::CachedSnapshot) {
-            for e in self.list.values_mut() {
+    pub fn apply_list(&mut self, update: WatchUpdate, endpoints: Vec<EndpointUpdate>) {
+        if matches!(update, WatchUpdate::Snapshot | WatchUpdate::CachedSnapshot) {
+            for e in self.listed.values_mut() {
                 e.state = EndpointState::Removed;
             }
         }
         for e in &endpoints {
-            self.list.insert(e.endpoint, *e);
+            self.listed.insert(e.endpoint, *e);
         }
-        self.feed(Event::EndpointsChanged { update: kind, endpoints });
+        self.feed(Event::EndpointsChanged { update, endpoints });
     }
 
-    /// Takes a backend out of service, or puts it back.
-    pub fn call(&mut self, endpoint: EndpointId, out: bool) {
-        if out {
-            self.out.insert(endpoint);
+    /// Disables or enables an endpoint.
+    pub fn set_disabled(&mut self, endpoint: EndpointId, disable: bool) {
+        if disable {
+            self.disabled.insert(endpoint);
         } else {
-            self.out.remove(&endpoint);
+            self.disabled.remove(&endpoint);
         }
-        self.feed(if out { Event::Disable(endpoint) } else { Event::Enable(endpoint) });
+        self.feed(if disable { Event::Disable(endpoint) } else { Event::Enable(endpoint) });
     }
 
-    pub fn ask(&mut self, class: usize, key: Option<u64>) -> RequestId {
-        let deadline = self.s.classes.get(class).map_or(500.0, |c| c.deadline_ms);
-        self.ask_with(class, key, deadline)
+    pub fn request(&mut self, class: usize, key: Option<u64>) -> RequestId {
+        let deadline = self.settings.classes.get(class).map_or(500.0, |c| c.deadline_ms);
+        self.request_with_deadline(class, key, deadline)
     }
 
-    pub fn ask_with(&mut self, class: usize, key: Option<u64>, given: f64) -> RequestId {
-        self.ask_as(class, key, given, false)
+    pub fn request_with_deadline(&mut self, class: usize, key: Option<u64>, given: f64) -> RequestId {
+        self.request_from_client(class, key, given, false)
     }
 
-    pub fn ask_as(&mut self, class: usize, key: Option<u64>, given: f64, retry: bool) -> RequestId {
-        self.next += 1;
-        let id = RequestId(self.next);
+    pub fn request_from_client(
+        &mut self,
+        class: usize,
+        key: Option<u64>,
+        given: f64,
+        retry: bool,
+    ) -> RequestId {
+        self.next_id += 1;
+        let id = RequestId(self.next_id);
         let request = Request {
             id,
             class,
             key,
-            deadline_ms: self.now + given,
+            deadline_ms: self.now_ms + given,
             estimated_cost_ms: None,
             is_retry: retry,
             queued_ms: 0.0,
         };
-        self.asked.insert(id, Asked { request, attempts: Vec::new(), answer: None, whole_at: self.now });
+        self.requests.insert(
+            id,
+            TrackedRequest {
+                request,
+                attempts: Vec::new(),
+                answer: None,
+                body_complete_at_ms: self.now_ms,
+            },
+        );
         self.feed(Event::Request(request));
         id
     }
 
-    /// The backend of a request's attempt that is out.
-    pub fn at(&self, id: RequestId) -> Option<EndpointId> {
-        self.asked[&id].attempts.iter().find(|a| a.outcome.is_none()).map(|a| a.endpoint)
+    /// The endpoint of a request's attempt in flight.
+    pub fn endpoint_of(&self, id: RequestId) -> Option<EndpointId> {
+        self.requests[&id].attempts.iter().find(|a| a.outcome.is_none()).map(|a| a.endpoint)
     }
 
-    pub fn answer(&self, id: RequestId) -> Option<&'static str> {
-        self.asked[&id].answer
+    pub fn answer(&self, id: RequestId) -> Option<Answer> {
+        self.requests[&id].answer
     }
 
-    /// Ends the attempt of a request that is out.
-    pub fn end(&mut self, id: RequestId, outcome: AttemptOutcome) {
-        self.end_with(id, outcome, LoadReport::default());
+    /// Ends the attempt in flight of a request.
+    pub fn end_attempt(&mut self, id: RequestId, outcome: AttemptOutcome) {
+        self.end_attempt_with_load(id, outcome, LoadReport::default());
     }
 
     /// The same, with a load report.
-    pub fn end_with(&mut self, id: RequestId, outcome: AttemptOutcome, load: LoadReport) {
-        let now = self.now;
-        let Some(asked) = self.asked.get_mut(&id) else { return };
-        let Some(n) = asked.attempts.iter().position(|a| a.outcome.is_none()) else { return };
-        asked.attempts[n].outcome = Some(outcome);
-        if outcome == AttemptOutcome::Answered && asked.answer.is_none() {
-            asked.answer = Some("done");
+    pub fn end_attempt_with_load(&mut self, id: RequestId, outcome: AttemptOutcome, load: LoadReport) {
+        let now = self.now_ms;
+        let Some(tracked) = self.requests.get_mut(&id) else { return };
+        let Some(n) = tracked.attempts.iter().position(|a| a.outcome.is_none()) else { return };
+        tracked.attempts[n].outcome = Some(outcome);
+        if outcome == AttemptOutcome::Answered && tracked.answer.is_none() {
+            tracked.answer = Some(Answer::Served);
         }
-        let last = asked.answer.is_some();
-        let (endpoint, elapsed_ms) = (asked.attempts[n].endpoint, now - asked.attempts[n].at);
+        let last = tracked.answer.is_some();
+        let (endpoint, elapsed_ms) = (tracked.attempts[n].endpoint, now - tracked.attempts[n].sent_at_ms);
         self.feed(Event::AttemptEnded {
             id,
             attempt: n as u32,
@@ -328,43 +368,43 @@
         });
     }
 
-    /// The answer to the attempt that is out begins: the request is served, its end is told later.
-    pub fn begin(&mut self, id: RequestId) {
-        let now = self.now;
-        let Some(asked) = self.asked.get_mut(&id).filter(|a| a.answer.is_none()) else { return };
-        let Some(n) = asked.attempts.iter().position(|a| a.outcome.is_none()) else { return };
-        asked.answer = Some("done");
-        let (endpoint, elapsed_ms) = (asked.attempts[n].endpoint, now - asked.attempts[n].at);
+    /// The response to the attempt in flight begins: the request is served, the attempt's end follows later.
+    pub fn start_response(&mut self, id: RequestId) {
+        let now = self.now_ms;
+        let Some(tracked) = self.requests.get_mut(&id).filter(|a| a.answer.is_none()) else { return };
+        let Some(n) = tracked.attempts.iter().position(|a| a.outcome.is_none()) else { return };
+        tracked.answer = Some(Answer::Served);
+        let (endpoint, elapsed_ms) = (tracked.attempts[n].endpoint, now - tracked.attempts[n].sent_at_ms);
         self.feed(Event::ResponseStarted { id, attempt: n as u32, endpoint, elapsed_ms });
     }
 
     /// The last byte of a request's body has come: its times count from here.
-    pub fn whole(&mut self, id: RequestId) {
-        let now = self.now;
-        let Some(asked) = self.asked.get_mut(&id) else { return };
-        let late = now - asked.whole_at;
-        asked.whole_at = now;
-        asked.request.deadline_ms += late;
-        for a in &mut asked.attempts {
-            (a.at, a.ends) = (a.at + late, a.ends + late);
+    pub fn complete_body(&mut self, id: RequestId) {
+        let now = self.now_ms;
+        let Some(tracked) = self.requests.get_mut(&id) else { return };
+        let late = now - tracked.body_complete_at_ms;
+        tracked.body_complete_at_ms = now;
+        tracked.request.deadline_ms += late;
+        for a in &mut tracked.attempts {
+            (a.sent_at_ms, a.times_out_at_ms) = (a.sent_at_ms + late, a.times_out_at_ms + late);
         }
         self.feed(Event::RequestBodyComplete(id));
     }
 
-    pub fn left(&mut self, id: RequestId) {
-        if let Some(a) = self.asked.get_mut(&id) {
-            a.answer.get_or_insert("left");
+    pub fn disconnect_client(&mut self, id: RequestId) {
+        if let Some(a) = self.requests.get_mut(&id) {
+            a.answer.get_or_insert(Answer::ClientLeft);
         }
         self.feed(Event::ClientDisconnected(id));
     }
 
-    /// Moves the clock, with every timer and time-out on the way.
+    /// Moves the clock, with every timer and timeout on the way.
     pub fn run_to(&mut self, until: f64) {
         loop {
             let due = self.timers.iter().map(|t| t.0).fold(f64::INFINITY, f64::min);
-            let over = (self.asked.iter())
+            let over = (self.requests.iter())
                 .flat_map(|(id, a)| {
-                    a.attempts.iter().filter(|a| a.outcome.is_none()).map(|s| (s.ends, *id))
+                    a.attempts.iter().filter(|a| a.outcome.is_none()).map(|s| (s.times_out_at_ms, *id))
                 })
                 .min_by(|a, b| a.0.total_cmp(&b.0));
             let ends = over.map_or(f64::INFINITY, |o| o.0);
@@ -372,38 +412,38 @@
             if next > until {
                 break;
             }
-            self.now = self.now.max(next);
+            self.now_ms = self.now_ms.max(next);
             if ends <= due {
                 if let Some((_, id)) = over {
-                    self.end(id, AttemptOutcome::TimedOut);
+                    self.end_attempt(id, AttemptOutcome::TimedOut);
                 }
             } else if let Some(n) = self.timers.iter().position(|t| t.0 == due) {
                 let (_, token) = self.timers.swap_remove(n);
                 self.feed(Event::Timer(token));
             }
         }
-        self.now = self.now.max(until);
-        for (id, a) in &self.asked {
-            let late = self.now > a.request.deadline_ms + ANSWER_SLACK_MS;
+        self.now_ms = self.now_ms.max(until);
+        for (id, a) in &self.requests {
+            let late = self.now_ms > a.request.deadline_ms + ANSWER_SLACK_MS;
             assert!(!late || a.answer.is_some(), "rule 1: {id:?} has no answer in time");
         }
     }
 
     pub fn wait(&mut self, ms: f64) {
-        self.run_to(self.now + ms);
+        self.run_to(self.now_ms + ms);
     }
 
     /// Sends and answers requests for a while, so that the balancer has something to go by.
     pub fn warm_up(&mut self, requests: u64, class: usize, each_ms: f64) {
         for n in 0..requests {
-            let id = self.ask(class, Some(n % 97));
+            let id = self.request(class, Some(n % 97));
             self.wait(each_ms);
-            self.end(id, AttemptOutcome::Answered);
+            self.end_attempt(id, AttemptOutcome::Answered);
         }
     }
 }
 
-pub fn up(n: u64) -> EndpointUpdate {
+pub fn active_endpoint(n: u64) -> EndpointUpdate {
     EndpointUpdate {
         endpoint: EndpointId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         zone: (n % 2) as u16,
--- a/tests/node_console.rs
+++ b/tests/node_admin.rs
@@ -7,32 +7,32 @@
 use std::time::Duration;
 
 /// A node with a console and backends that say "ok".
-fn start(backends_up: usize) -> (Node, Record) {
-    let record = Record::default();
-    let discovery = Discovery::start(all_up(&backends(backends_up, &record, |_, _| ok(b"ok"))));
+fn start(backends_up: usize) -> (Node, RequestRecord) {
+    let record = RequestRecord::default();
+    let discovery = DiscoveryStub::start(all_up(&start_endpoints(backends_up, &record, |_, _| ok(b"ok"))));
     let node = Node::start(discovery.address, |c| c["console"] = free_address().to_string().into());
     (node, record)
 }
 
 #[test]
-fn a_call_is_one_line_and_so_is_its_answer() {
+fn an_admin_command_and_its_answer_are_one_line_each() {
     let (node, _) = start(1);
     for line in ["ready", "  ready  ", "ready\r", "ready\nready"] {
-        assert_eq!(node.call(line), "done takes clients\n", "{line:?}");
+        assert_eq!(node.admin_command(line), "done takes clients\n", "{line:?}");
     }
 }
 
 #[test]
-fn a_node_with_nobody_to_send_to_is_not_ready() {
-    let discovery = Discovery::start(Vec::new());
+fn a_node_without_usable_endpoints_is_not_ready() {
+    let discovery = DiscoveryStub::start(Vec::new());
     let change = |c: &mut serde_json::Value| c["console"] = free_address().to_string().into();
     let node = Node::launch(discovery.address, change, "exec \"$0\"");
-    wait_for("the console is there", || TcpStream::connect(node.console()).is_ok());
-    assert_eq!(node.call("ready"), "error takes no clients\n");
+    wait_for("the console is there", || TcpStream::connect(node.admin_address()).is_ok());
+    assert_eq!(node.admin_command("ready"), "error takes no clients\n");
 }
 
 #[test]
-fn what_is_no_call_gets_one_line_that_says_why() {
+fn an_invalid_admin_command_gets_one_line_that_says_why() {
     let (node, _) = start(1);
     let long = "x".repeat(300);
     for (bytes, why) in [
@@ -48,20 +48,20 @@
         (b"read", "no whole line came"),
         (b"", "no whole line came"),
     ] {
-        let answer = call(node.console(), bytes);
+        let answer = admin_command(node.admin_address(), bytes);
         assert!(answer.starts_with("error "), "{answer:?}");
         assert!(answer.contains(why), "{answer:?} does not say {why:?}");
         assert_eq!(answer.matches('\n').count(), 1, "{answer:?}");
     }
-    assert_eq!(node.up(), 200);
+    assert_eq!(node.readiness_status(), 200);
 }
 
 #[test]
-fn callers_that_say_nothing_do_not_keep_others_out() {
+fn silent_admin_connections_do_not_lock_others_out() {
     let (node, _) = start(1);
-    let mut silent: Vec<_> = (0..100).map(|_| TcpStream::connect(node.console()).unwrap()).collect();
+    let mut silent: Vec<_> = (0..100).map(|_| TcpStream::connect(node.admin_address()).unwrap()).collect();
     silent.iter_mut().for_each(|s| s.write_all(b"rea").unwrap());
-    assert_eq!(node.call("ready"), "done takes clients\n");
+    assert_eq!(node.admin_command("ready"), "done takes clients\n");
     assert!(node.descriptors() < 60, "{} descriptors", node.descriptors());
     // The last of them is still there and may finish its call.
     let mut last = silent.pop().unwrap();
@@ -73,103 +73,105 @@
 }
 
 #[test]
-fn a_node_without_a_console_listens_nowhere_else() {
-    let record = Record::default();
-    let discovery = Discovery::start(all_up(&backends(1, &record, |_, _| ok(b"ok"))));
+fn a_node_without_an_admin_address_listens_for_clients_only() {
+    let record = RequestRecord::default();
+    let discovery = DiscoveryStub::start(all_up(&start_endpoints(1, &record, |_, _| ok(b"ok"))));
     let console = free_address();
     let _node = Node::start(discovery.address, |_| {});
     assert!(TcpStream::connect(console).is_err());
 }
 
 #[test]
-fn a_console_that_cannot_be_bound_ends_the_start_with_its_name() {
-    let discovery = Discovery::start(Vec::new());
+fn an_admin_address_that_cannot_be_bound_is_named_and_ends_the_start() {
+    let discovery = DiscoveryStub::start(Vec::new());
     let taken = std::net::TcpListener::bind(loopback(0)).unwrap();
     for (value, why) in [
         (taken.local_addr().unwrap().to_string(), "console: 127.0.0.1:"),
         ("nowhere".to_owned(), "console: \"nowhere\" is not an address and port"),
     ] {
         let mut node = Node::launch(discovery.address, |c| c["console"] = value.into(), "exec \"$0\"");
-        assert!(!node.ended().success());
+        assert!(!node.wait_for_exit().success());
         let log = node.log();
         assert!(log.contains(why), "{log}");
     }
 }
 
 #[test]
-fn a_drained_node_sends_clients_away_and_takes_them_again() {
+fn a_drained_node_closes_connections_until_it_resumes() {
     let (mut node, record) = start(2);
     let mut idle = Client::connect(node.address);
     let mut used = Client::connect(node.address);
-    assert_eq!(idle.ask(&request("page", 4000)).status(), 200);
-    assert_eq!(used.ask(&request("page", 4000)).header("connection"), None);
+    assert_eq!(idle.send_and_receive(&request("page", 4000)).status(), 200);
+    assert_eq!(used.send_and_receive(&request("page", 4000)).header("connection"), None);
     for _ in 0..2 {
-        assert!(node.call("drain").starts_with("done "));
-        assert_eq!(node.up(), 503);
+        assert!(node.admin_command("drain").starts_with("done "));
+        assert_eq!(node.readiness_status(), 503);
     }
-    assert_eq!(node.call("ready"), "error takes no clients\n");
+    assert_eq!(node.admin_command("ready"), "error takes no clients\n");
     // What is asked on an open connection is answered, and the connection ends with it.
-    let last = used.ask(&request("page", 4000));
+    let last = used.send_and_receive(&request("page", 4000));
     assert_eq!((last.status(), last.header("connection")), (200, Some("close")));
-    assert!(used.answer().is_none());
+    assert!(used.response().is_none());
     // So does one that asks nothing more.
-    assert!(idle.answer().is_none(), "an idle connection is closed");
+    assert!(idle.response().is_none(), "an idle connection is closed");
     // Who comes all the same is served.
-    assert_eq!(ask(node.address, &request("page", 4000)).status(), 200);
+    assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200);
     for _ in 0..2 {
-        assert!(node.call("resume").starts_with("done "));
-        assert_eq!(node.up(), 200);
+        assert!(node.admin_command("resume").starts_with("done "));
+        assert_eq!(node.readiness_status(), 200);
     }
     let mut kept = Client::connect(node.address);
-    assert_eq!(kept.ask(&request("page", 4000)).header("connection"), None);
-    assert_eq!(kept.ask(&request("page", 4000)).status(), 200);
+    assert_eq!(kept.send_and_receive(&request("page", 4000)).header("connection"), None);
+    assert_eq!(kept.send_and_receive(&request("page", 4000)).status(), 200);
     assert_eq!(record.count(), 6);
-    assert!(node.call("drain").starts_with("done "));
+    assert!(node.admin_command("drain").starts_with("done "));
     node.terminate();
-    assert!(node.ended().success(), "a drained node ends as any other does");
+    assert!(node.wait_for_exit().success(), "a drained node ends as any other does");
 }
 
 #[test]
-fn a_request_under_way_is_answered_through_a_drain() {
-    let record = Record::default();
+fn a_request_in_progress_is_answered_during_a_drain() {
+    let record = RequestRecord::default();
     let rest = Duration::from_millis(1200);
-    let slow = move |_, _: &Message| Act::SayAndThen(Vec::new(), rest, reply("200 OK", "", b"late"));
-    let discovery = Discovery::start(all_up(&backends(1, &record, slow)));
+    let slow =
+        move |_, _: &Message| ScriptedReply::SendInTwoParts(Vec::new(), rest, reply("200 OK", "", b"late"));
+    let discovery = DiscoveryStub::start(all_up(&start_endpoints(1, &record, slow)));
     let node = Node::start(discovery.address, |c| c["console"] = free_address().to_string().into());
     let mut client = Client::connect(node.address);
     client.send(&request("page", 4000));
     wait_for("it is under way", || record.count() == 1);
-    assert!(node.call("drain").starts_with("done "));
-    assert_eq!(client.answer().unwrap().body, b"late");
+    assert!(node.admin_command("drain").starts_with("done "));
+    assert_eq!(client.response().unwrap().body, b"late");
 }
 
 /// A node and its backends, named s-0, s-1, ..., each with a record of its own.
 struct Site {
     node: Node,
-    records: Vec<Record>,
-    discovery: Discovery,
+    records: Vec<RequestRecord>,
+    discovery: DiscoveryStub,
     addresses: Vec<std::net::SocketAddr>,
 }
 
 fn start_apart(count: usize) -> Site {
-    let records: Vec<Record> = (0..count).map(|_| Record::default()).collect();
-    let addresses: Vec<_> = records.iter().map(|r| backend(r, |_, _| ok(b"ok"))).collect();
-    let discovery = Discovery::start(all_up(&addresses));
+    let records: Vec<RequestRecord> = (0..count).map(|_| RequestRecord::default()).collect();
+    let addresses: Vec<_> = records.iter().map(|r| start_endpoint(r, |_, _| ok(b"ok"))).collect();
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["console"] = free_address().to_string().into());
     Site { node, records, discovery, addresses }
 }
 
 #[test]
-fn a_disabled_server_gets_nothing_until_it_is_enabled_whatever_the_list_says() {
+fn a_disabled_endpoint_gets_nothing_until_it_is_enabled() {
     let Site { node, records, discovery, addresses } = start_apart(2);
-    let asked =
-        |n: usize| (0..n).for_each(|_| assert_eq!(ask(node.address, &request("page", 4000)).status(), 200));
+    let asked = |n: usize| {
+        (0..n).for_each(|_| assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200))
+    };
     wait_for("both are asked", || {
         asked(1);
         records.iter().all(|r| r.count() > 0)
     });
     for _ in 0..2 {
-        assert!(node.call("disable-server s-0").starts_with("done "));
+        assert!(node.admin_command("disable-server s-0").starts_with("done "));
     }
     wait_for("its idle connections are closed", || records[0].open_now() == 0);
     let before = records[0].count();
@@ -180,46 +182,52 @@
     asked(50);
     assert_eq!(records[0].count(), before, "asked though out of service");
     // One call back undoes both.
-    assert_eq!(node.call("enable-server s-0"), "done in service again, cold\n");
+    assert_eq!(node.admin_command("enable-server s-0"), "done in service again, cold\n");
     wait_for("it is asked again", || {
         asked(1);
         records[0].count() > before
     });
-    assert_eq!(node.call("enable-server s-0"), "done was not out of service\n");
+    assert_eq!(node.admin_command("enable-server s-0"), "done was not out of service\n");
 }
 
 #[test]
-fn an_id_that_nobody_has_named_is_an_error_and_one_out_of_service_is_not() {
+fn an_unknown_endpoint_is_an_error_and_a_disabled_one_is_not() {
     let Site { node, discovery, addresses, .. } = start_apart(2);
     for line in ["disable-server s-7", "enable-server s-7", "disable-server S-0"] {
-        assert_eq!(node.call(line), "error no server of this id is on the list or out of service\n");
+        assert_eq!(
+            node.admin_command(line),
+            "error no server of this id is on the list or out of service\n"
+        );
     }
-    assert!(node.call("disable-server s-0").starts_with("done "));
+    assert!(node.admin_command("disable-server s-0").starts_with("done "));
     let calls = discovery.calls();
     discovery.set(vec![target("s-1", addresses[1], "up")]);
     wait_for("the list is taken", || discovery.calls() > calls);
     // The list has forgotten it, the node has not.
-    assert!(node.call("enable-server s-0").starts_with("done "));
-    assert!(node.call("enable-server s-0").starts_with("error "));
+    assert!(node.admin_command("enable-server s-0").starts_with("done "));
+    assert!(node.admin_command("enable-server s-0").starts_with("error "));
 }
 
 #[test]
-fn a_node_with_every_server_out_of_service_takes_no_clients() {
+fn a_node_with_all_endpoints_disabled_is_not_ready() {
     let Site { node, .. } = start_apart(1);
-    assert!(node.call("disable-server s-0").starts_with("done "));
-    assert_eq!((node.up(), node.call("ready").as_str()), (503, "error takes no clients\n"));
-    assert_eq!(ask(node.address, &request("page", 4000)).status(), 503, "refused, not held");
+    assert!(node.admin_command("disable-server s-0").starts_with("done "));
+    assert_eq!(
+        (node.readiness_status(), node.admin_command("ready").as_str()),
+        (503, "error takes no clients\n")
+    );
+    assert_eq!(send_request(node.address, &request("page", 4000)).status(), 503, "refused, not held");
 }
 
 #[test]
-fn who_is_slow_with_a_head_is_still_answered_by_a_node_that_is_leaving() {
+fn a_slow_request_head_is_answered_during_a_drain() {
     let (mut node, record) = start(1);
     let bytes = request("page", 4000);
     let halves: Vec<_> = bytes.chunks(bytes.len() / 2 + 1).collect();
     let begin = |node: &Node, asked: bool| {
         let mut client = Client::connect(node.address);
         if asked {
-            assert_eq!(client.ask(&request("page", 4000)).status(), 200);
+            assert_eq!(client.send_and_receive(&request("page", 4000)).status(), 200);
         }
         client.send(halves[0]);
         client
@@ -228,27 +236,27 @@
         // Longer than idle connections are left open.
         std::thread::sleep(Duration::from_millis(1500));
         client.send(halves[1]);
-        let answer = client.answer().expect(what);
+        let answer = client.response().expect(what);
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")), "{what}");
     };
     for asked in [false, true] {
         let client = begin(&node, asked);
-        assert!(node.call("drain").starts_with("done "));
+        assert!(node.admin_command("drain").starts_with("done "));
         end(client, "drained");
-        assert!(node.call("resume").starts_with("done "));
+        assert!(node.admin_command("resume").starts_with("done "));
     }
     let client = begin(&node, true);
     node.terminate();
     end(client, "told to stop");
-    assert!(node.ended().success());
+    assert!(node.wait_for_exit().success());
     assert_eq!(record.count(), 5);
 }
 
 #[test]
-fn calls_are_answered_beside_clients_that_hold_every_place_and_the_limit_holds() {
-    let record = Record::default();
-    let silent = backends(12, &record, |_, _| Act::Silent);
-    let discovery = Discovery::start(all_up(&silent));
+fn admin_commands_are_answered_at_the_descriptor_limit() {
+    let record = RequestRecord::default();
+    let silent = start_endpoints(12, &record, |_, _| ScriptedReply::Silent);
+    let discovery = DiscoveryStub::start(all_up(&silent));
     let node = Node::start(discovery.address, |c| {
         c["console"] = free_address().to_string().into();
         c["limits"]["sockets"] = 96.into();
@@ -259,8 +267,8 @@
     wait_for("they hold what there is", || record.open_now() >= 24);
     let mut silent = Vec::new();
     for _ in 0..40 {
-        silent.push(TcpStream::connect(node.console()).unwrap());
-        assert_eq!(node.call("ready"), "done takes clients\n");
+        silent.push(TcpStream::connect(node.admin_address()).unwrap());
+        assert_eq!(node.admin_command("ready"), "done takes clients\n");
         assert!(node.descriptors() <= 96, "{} descriptors", node.descriptors());
     }
 }
--- a/tests/node_clients.rs
+++ b/tests/node_clients.rs
@@ -12,10 +12,10 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of malformed inputs and their answers")]
-fn malformed_input_is_answered_without_a_backend() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b""));
-    let discovery = Discovery::start(all_up(&addresses));
+fn malformed_requests_are_rejected_without_an_endpoint() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(1, &record, |_, _| ok(b""));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let mut node = Node::start(discovery.address, |_| {});
     let head = "Host: n\r\nX-Trace-Id: 1\r\n";
     let large = format!("POST /api HTTP/1.1\r\n{head}X-Qos: bid\r\nContent-Length: 33554433\r\n\r\n");
@@ -60,7 +60,7 @@
         (431, format!("GET /api HTTP/1.1\r\n{head}X-Long: {}", "x".repeat(100_000))),
     ];
     for (status, bytes) in cases {
-        let got = attempt(node.address, bytes.as_bytes()).map(|m| m.status());
+        let got = try_request(node.address, bytes.as_bytes()).map(|m| m.status());
         assert_eq!(got, Some(status), "{:?}", bytes.get(..100.min(bytes.len())));
     }
     // Half a request and a silent leave.
@@ -69,31 +69,31 @@
     half.send(b"POST /api HTTP/1.1\r\nX-Trace-Id: 1\r\nX-Qos: bid\r\nContent-Length: 10\r\n\r\nabc");
     drop(half);
     assert_eq!(record.count(), 0);
-    assert!(node.running());
+    assert!(node.is_running());
 }
 
 #[test]
-fn the_log_says_why_requests_are_turned_away() {
-    let discovery = Discovery::start(Vec::new());
+fn the_log_counts_rejected_requests_by_reason() {
+    let discovery = DiscoveryStub::start(Vec::new());
     for (lines, why) in [
         ("X-Qos: bid\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n", "both a length and chunks"),
         ("X-Qos: other\r\nContent-Length: 0\r\n", "X-Qos names no class"),
     ] {
         let mut node = Node::launch(discovery.address, |_| {}, "exec \"$0\"");
-        wait_for("it listens", || node.up() == 503);
+        wait_for("it listens", || node.readiness_status() == 503);
         let text = format!("POST /api HTTP/1.1\r\nHost: n\r\nX-Trace-Id: 1\r\n{lines}\r\n0\r\n\r\n");
-        assert_eq!(attempt(node.address, text.as_bytes()).map(|m| m.status()), Some(400));
+        assert_eq!(try_request(node.address, text.as_bytes()).map(|m| m.status()), Some(400));
         node.terminate();
-        assert!(node.ended().success());
+        assert!(node.wait_for_exit().success());
         assert!(node.log().contains(&format!("rejected: 1 {why:?}")), "{why}");
     }
 }
 
 #[test]
-fn what_is_turned_away_is_read_first_so_that_the_answer_arrives() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b""));
-    let discovery = Discovery::start(all_up(&addresses));
+fn a_rejected_body_is_read_so_that_the_response_arrives() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(1, &record, |_, _| ok(b""));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     // A socket closed with unread bytes resets, and takes the answer that was under way along.
     let cases = [
@@ -112,23 +112,23 @@
                 assert!(client.send(part), "{status}: closed before the body was read");
                 thread::sleep(Duration::from_micros(300));
             }
-            assert_eq!(client.answer().map(|m| m.status()), Some(status));
+            assert_eq!(client.response().map(|m| m.status()), Some(status));
         }
     }
     assert_eq!(record.count(), 0);
 }
 
 #[test]
-fn under_pressure_idle_clients_make_room_and_nobody_waits_in_vain() {
-    let record = Record::default();
-    let addresses = backends(4, &record, |_, _| ok(b"x"));
-    let discovery = Discovery::start(all_up(&addresses));
+fn idle_clients_are_evicted_when_descriptors_are_scarce() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(4, &record, |_, _| ok(b"x"));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 64.into());
     // Three times as many connections as the limit, all kept by their clients.
     let mut clients = Vec::new();
     for n in 0..200 {
         let mut client = Client::connect(node.address);
-        assert_eq!(client.ask(&request("bid", 900)).status(), 200, "client {n}");
+        assert_eq!(client.send_and_receive(&request("bid", 900)).status(), 200, "client {n}");
         assert!(node.descriptors() <= 64, "{} descriptors", node.descriptors());
         clients.push(client);
     }
@@ -136,12 +136,12 @@
 }
 
 #[test]
-fn a_crowd_that_asks_once_each_is_served_as_fast_as_it_comes() {
+fn many_clients_with_one_request_each_are_served_without_delay() {
     // Found on a recorded day: with every place taken and someone new always about to ask, one connection was
     // taken in ten milliseconds, and most waited until their time was up.
-    let record = Record::default();
-    let addresses = backends(4, &record, |_, _| ok(b"x"));
-    let discovery = Discovery::start(all_up(&addresses));
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(4, &record, |_, _| ok(b"x"));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 128.into());
     let begun = Instant::now();
     thread::scope(|scope| {
@@ -150,7 +150,7 @@
                 let mut kept = Vec::new();
                 for _ in 0..250 {
                     let mut client = Client::connect(node.address);
-                    assert_eq!(client.ask(&request("page", 4000)).status(), 200);
+                    assert_eq!(client.send_and_receive(&request("page", 4000)).status(), 200);
                     kept.push(client);
                 }
             });
@@ -161,15 +161,15 @@
 }
 
 #[test]
-fn a_crowd_that_stays_is_asked_to_go_and_a_few_are_kept() {
+fn only_some_of_many_keep_alive_clients_are_kept() {
     // Found on the same day: clients that ask once and stay held all the connections that clients may have.
-    let record = Record::default();
-    let addresses = backends(4, &record, |_, _| ok(b"x"));
-    let discovery = Discovery::start(all_up(&addresses));
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(4, &record, |_, _| ok(b"x"));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 256.into());
     let ask_and_stay = |_| {
         let mut client = Client::connect(node.address);
-        let answer = client.ask(&request("page", 4000));
+        let answer = client.send_and_receive(&request("page", 4000));
         assert_eq!(answer.status(), 200);
         (answer.header("connection") == Some("close"), client)
     };
@@ -179,27 +179,27 @@
 }
 
 #[test]
-fn clients_that_never_finish_their_request_do_not_shut_others_out() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
-    let discovery = Discovery::start(all_up(&addresses));
+fn unfinished_requests_do_not_lock_other_clients_out() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(1, &record, |_, _| ok(b"x"));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 44.into());
     let mut stuck: Vec<Client> = (0..100).map(|_| Client::connect(node.address)).collect();
     for client in &mut stuck {
         client.send(b"GET /api HT");
     }
-    assert_eq!(ask(node.address, &request("page", 4000)).status(), 200);
+    assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200);
     assert!(node.descriptors() <= 44, "{} descriptors", node.descriptors());
 }
 
 #[test]
-fn the_nodes_own_want_of_descriptors_is_not_blamed_on_backends() {
-    let record = Record::default();
-    let addresses = backends(2, &record, |_, _| {
+fn a_lack_of_descriptors_is_not_blamed_on_endpoints() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(2, &record, |_, _| {
         thread::sleep(Duration::from_millis(600));
         ok(b"x")
     });
-    let discovery = Discovery::start(all_up(&addresses));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let mut node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 44.into());
     // More busy clients than descriptors: the node has none left for their attempts.
     // Under that pressure one that is slow to ask once it has connected is closed: that is no answer lost.
@@ -207,23 +207,23 @@
     for client in &mut clients {
         client.send(&request("page", 3500));
     }
-    let statuses: Vec<u16> = clients.iter_mut().filter_map(|c| Some(c.answer()?.status())).collect();
+    let statuses: Vec<u16> = clients.iter_mut().filter_map(|c| Some(c.response()?.status())).collect();
     assert!(statuses.contains(&200), "{statuses:?}");
     assert!(statuses.iter().all(|s| matches!(s, 200 | 503)), "{statuses:?}");
     drop(clients);
     node.terminate();
-    assert!(node.ended().success());
+    assert!(node.wait_for_exit().success());
     let log = node.log();
     assert!(!log.contains("congested") && !log.contains("scarce"), "{log}");
 }
 
 #[test]
-fn a_system_that_allows_next_to_nothing_neither_ends_the_node_nor_has_it_spin() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b"x"));
-    let discovery = Discovery::start(all_up(&addresses));
+fn a_very_low_descriptor_limit_neither_ends_the_node_nor_makes_it_spin() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(1, &record, |_, _| ok(b"x"));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let mut node = Node::launch(discovery.address, |_| {}, "ulimit -n 16; exec \"$0\"");
-    wait_for("/up is 200", || node.up() == 200);
+    wait_for("/up is 200", || node.readiness_status() == 200);
     // Half a request each, so that none of them is idle. The node closes such strangers for room and after some
     // time, so more come for as long as it is to be at the limit; one closed for the next leaves it one below.
     let mut held = Vec::new();
@@ -244,13 +244,13 @@
     }
     let used = node.cpu_ticks() - before;
     assert!(used < 20, "{used} of 50 ticks used while nothing can be done");
-    assert!(node.running());
+    assert!(node.is_running());
     drop(held);
     wait_for("it serves again", || {
-        attempt(node.address, &request("page", 900)).is_some_and(|m| m.status() == 200)
+        try_request(node.address, &request("page", 900)).is_some_and(|m| m.status() == 200)
     });
     node.terminate();
-    assert!(node.ended().success());
+    assert!(node.wait_for_exit().success());
     let log = node.log();
     assert!(log.contains("no descriptor"), "{log}");
     assert!(log.lines().count() < 30, "{} lines", log.lines().count());
@@ -267,7 +267,7 @@
     ];
     for (field, change) in cases {
         let mut node = Node::launch(free_address(), change, "exec \"$0\"");
-        assert!(!node.ended().success(), "{field}");
+        assert!(!node.wait_for_exit().success(), "{field}");
         let log = node.log();
         assert!(log.contains(field), "{field} is not named: {log}");
     }
@@ -309,12 +309,13 @@
 }
 
 #[test]
-fn discovery_console_and_backends_are_reached_though_idle_clients_hold_every_descriptor() {
+fn idle_clients_do_not_take_the_descriptors_of_discovery_admin_and_endpoints() {
     // What the node is told, and a system that allows it less than that.
     for (told, system) in [(64, 64), (1024, 40)] {
         for mode in ["on_request", "pushed"] {
-            let (leaving, staying) = (Record::default(), Record::default());
-            let addresses = [backend(&leaving, |_, _| ok(b"x")), backend(&staying, |_, _| ok(b"x"))];
+            let (leaving, staying) = (RequestRecord::default(), RequestRecord::default());
+            let addresses =
+                [start_endpoint(&leaving, |_, _| ok(b"x")), start_endpoint(&staying, |_, _| ok(b"x"))];
             let (place, console) = (free_address(), free_address());
             let known = serde_json::json!({"rev": 1, "all": true, "targets": all_up(&addresses)});
             let node = Node::launch(
@@ -327,7 +328,7 @@
                 },
                 &format!("ulimit -n {system}; exec \"$0\""),
             );
-            wait_for("/up is 200", || node.up() == 200);
+            wait_for("/up is 200", || node.readiness_status() == 200);
             // What it holds by itself, some of it inherited: that differs from one machine to the next.
             let few = (0..100).map(|_| node.descriptors()).min().unwrap_or_default();
             let idlers = Idlers::fill(&node);
@@ -336,15 +337,15 @@
             // Discovery comes back, and one of its backends drains.
             let mut targets = all_up(&addresses);
             targets[0] = target("s-0", addresses[0], "draining");
-            let discovery = Discovery::start_at(place, targets.clone());
+            let discovery = DiscoveryStub::start_at(place, targets.clone());
             discovery.set(targets);
             wait_by(Instant::now() + Duration::from_secs(6), "its list is asked for", || {
                 // The watch after the call that was answered.
                 discovery.calls() >= 2
             });
-            leaves_alone(&node, &leaving, &staying);
-            assert!(node.call("disable-server s-1").starts_with("done"), "{told} {system} {mode}");
-            assert_eq!(node.up(), 503);
+            assert_only_staying_serves(&node, &leaving, &staying);
+            assert!(node.admin_command("disable-server s-1").starts_with("done"), "{told} {system} {mode}");
+            assert_eq!(node.readiness_status(), 503);
             drop(idlers);
         }
     }
--- a/tests/node_clock.rs
+++ b/tests/node_clock.rs
@@ -14,18 +14,18 @@
 
 /// Three servers, of which discovery says when they started.
 struct Site {
-    records: Vec<Record>,
+    records: Vec<RequestRecord>,
     targets: Vec<Value>,
-    discovery: Discovery,
+    discovery: DiscoveryStub,
 }
 
 impl Site {
     fn new(boot_ms: i64) -> Site {
-        let records: Vec<Record> = (0..3).map(|_| Record::default()).collect();
-        let addresses: Vec<_> = records.iter().map(|r| backend(r, |_, _| ok(b"ok"))).collect();
+        let records: Vec<RequestRecord> = (0..3).map(|_| RequestRecord::default()).collect();
+        let addresses: Vec<_> = records.iter().map(|r| start_endpoint(r, |_, _| ok(b"ok"))).collect();
         let mut targets = all_up(&addresses);
         targets[0]["boot_ms"] = boot_ms.into();
-        Site { records, discovery: Discovery::start(targets.clone()), targets }
+        Site { records, discovery: DiscoveryStub::start(targets.clone()), targets }
     }
 
     /// The first server has restarted, as discovery has it.
@@ -37,7 +37,8 @@
     /// How many of `count` requests the first server gets.
     fn share(&self, node: &Node, count: usize) -> usize {
         let before = self.records[0].count();
-        (0..count).for_each(|_| assert_eq!(ask(node.address, &request("page", 4000)).status(), 200));
+        (0..count)
+            .for_each(|_| assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200));
         self.records[0].count() - before
     }
 
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_restart_after_the_clock_went_back_is_a_restart() {
+fn a_restart_is_recognized_after_the_wall_clock_went_back() {
     for step in [HOUR_MS, 5_000] {
         let before = wall_ms() - 60_000;
         let mut site = Site::new(before);
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_server_gets_warm_in_its_time_after_the_clock_went_forward() {
+fn slow_start_ends_in_time_after_the_wall_clock_jumped_forward() {
     let mut site = Site::new(0);
     let faults = SyscallFaults::new(2);
     let node = Node::start_with(site.discovery.address, &faults, |c| {
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn a_start_in_the_future_is_one_of_just_now() {
+fn a_start_time_in_the_future_counts_as_now() {
     let mut site = Site::new(0);
     let faults = SyscallFaults::new(3);
     let node = Node::start_with(site.discovery.address, &faults, |c| {
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn the_clock_going_forward_ends_no_cold_time() {
+fn a_wall_clock_jump_forward_ends_no_slow_start() {
     let mut site = Site::new(0);
     let faults = SyscallFaults::new(4);
     let node = Node::start_with(site.discovery.address, &faults, |_| {});
--- a/tests/node_opening.rs
+++ b/tests/node_cold_start.rs
@@ -9,31 +9,31 @@
 }
 
 #[test]
-fn a_node_whose_servers_have_all_just_started_serves() {
-    let record = Record::default();
-    let addresses = backends(3, &record, |_, _| ok(b"x"));
+fn a_node_serves_though_all_endpoints_have_just_started() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(3, &record, |_, _| ok(b"x"));
     let mut targets = all_up(&addresses);
     targets.iter_mut().for_each(|target| target["boot_ms"] = wall_ms().into());
-    let discovery = Discovery::start(targets);
+    let discovery = DiscoveryStub::start(targets);
     let node = Node::start(discovery.address, |_| {});
     // None of them will be warm for 22 s; each may be sent a few requests a second all the same.
     wait_for("twenty requests are served", || {
-        ask(node.address, &request("page", 4000));
+        send_request(node.address, &request("page", 4000));
         record.count() >= 20
     });
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_up_no_request() {
-    let record = Record::default();
-    let addresses = backends(3, &record, |_, _| ok(b"x"));
-    let discovery = Discovery::start(all_up(&addresses));
+fn an_unread_log_delays_no_request() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(3, &record, |_, _| ok(b"x"));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     // Its standard error is a pipe, which holds 64 KiB.
     let mut node = Node::launch(discovery.address, |_| {}, "LB_TRACE=all exec \"$0\"");
-    wait_for("/up is 200", || node.up() == 200);
+    wait_for("/up is 200", || node.readiness_status() == 200);
     let mut client = Client::connect(node.address);
     for n in 0..3000 {
-        assert_eq!(client.ask(&request("page", 4000)).status(), 200, "request {n}");
+        assert_eq!(client.send_and_receive(&request("page", 4000)).status(), 200, "request {n}");
     }
-    assert!(node.running());
+    assert!(node.is_running());
 }
--- /dev/null
+++ b/tests/node_discovery_list.rs
@@ -0,0 +1,89 @@
+//! What the endpoint list changes, well-formed or not.
+mod node;
+
+use node::*;
+use serde_json::json;
+use std::time::Instant;
+
+#[test]
+fn a_malformed_entry_does_not_hide_the_others() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(1, &record, |_, _| ok(b"x"));
+    let mut targets = all_up(&addresses);
+    targets.insert(0, json!({"uid": "s-8", "endpoint": "nowhere", "state": "up"}));
+    targets.insert(0, json!({"uid": 7, "endpoint": addresses[0].to_string(), "state": "up"}));
+    targets.insert(0, json!("what?"));
+    let discovery = DiscoveryStub::start(targets);
+    let node = Node::start(discovery.address, |_| {});
+    for _ in 0..5 {
+        assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200);
+    }
+}
+
+#[test]
+fn an_endpoint_that_leaves_gets_nothing_even_if_its_entry_is_malformed() {
+    let bad = [
+        json!({"uid": "s-0", "endpoint": "nowhere", "state": "draining"}),
+        json!({"uid": "s-0", "state": "draining"}),
+        json!({"uid": "s-0", "endpoint": "127.0.0.1:1", "state": "draining", "pod_group": -1}),
+        json!({"uid": "s-0", "endpoint": 7, "state": "removed", "capacity_hint": "big", "boot_ms": "now"}),
+    ];
+    for entry in bad {
+        let (leaving, staying) = (RequestRecord::default(), RequestRecord::default());
+        let addresses =
+            [start_endpoint(&leaving, |_, _| ok(b"x")), start_endpoint(&staying, |_, _| ok(b"x"))];
+        let discovery = DiscoveryStub::start(all_up(&addresses));
+        let node = Node::start(discovery.address, |_| {});
+        wait_for("a watch is out", || discovery.calls() >= 2);
+        discovery.set_changes(vec![entry.clone()]);
+        wait_for("the next watch is out", || discovery.calls() >= 3);
+        for _ in 0..20 {
+            assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200, "{entry}");
+        }
+        assert_eq!((leaving.count(), staying.count()), (0, 20), "{entry}");
+    }
+}
+
+#[test]
+fn a_list_without_a_readable_entry_is_ignored() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(1, &record, |_, _| ok(b"x"));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
+    let node = Node::start(discovery.address, |_| {});
+    discovery.set(vec![json!(1), json!({"id": "s-0"}), json!("what?")]);
+    let calls = discovery.calls();
+    wait_for("it is asked for again", || discovery.calls() >= calls + 2);
+    assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200, "the old list holds");
+}
+
+#[test]
+fn a_list_with_a_later_version_than_discovery_has_is_replaced() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(1, &record, |_, _| ok(b"x"));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
+    discovery.restart_versions(41, all_up(&addresses));
+    let node = Node::start(discovery.address, |c| c["settings"]["membershipMode"] = "on_request".into());
+    wait_for("a watch is out", || discovery.calls() >= 2);
+    discovery.restart_versions(1, vec![target("s-0", addresses[0], "draining")]);
+    // Nothing newer than that will come in the time that its watch may wait.
+    wait_by(Instant::now() + 3 * PATIENCE, "the whole list is asked for", || {
+        node.readiness_status() == 503
+    });
+}
+
+#[test]
+fn the_log_names_versions_and_states_of_the_list() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(2, &record, |_, _| ok(b"x"));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
+    let mut node = Node::start(discovery.address, |_| {});
+    let both = ["s-0", "s-1"].iter().zip(&addresses).map(|(uid, a)| target(uid, *a, "draining")).collect();
+    discovery.set(both);
+    wait_for("the drain is known", || node.readiness_status() == 503);
+    node.terminate();
+    node.wait_for_exit();
+    let log = node.log();
+    for line in ["version 1: 2 up", "version 2: 0 up, 2 draining"] {
+        assert!(log.contains(line), "{line:?} is not in {log}");
+    }
+}
--- a/tests/node_durable_calls.rs
+++ b/tests/node_durable_overrides.rs
@@ -18,19 +18,19 @@
 
 /// Three servers, and a node behind an inherited socket that keeps its state in a folder.
 struct Site {
-    records: Vec<Record>,
-    discovery: Discovery,
+    records: Vec<RequestRecord>,
+    discovery: DiscoveryStub,
     socket: TcpListener,
     folder: PathBuf,
 }
 
 impl Site {
     fn new(name: &str) -> Site {
-        let records: Vec<Record> = (0..3).map(|_| Record::default()).collect();
-        let addresses: Vec<_> = records.iter().map(|r| backend(r, |_, _| ok(b"ok"))).collect();
+        let records: Vec<RequestRecord> = (0..3).map(|_| RequestRecord::default()).collect();
+        let addresses: Vec<_> = records.iter().map(|r| start_endpoint(r, |_, _| ok(b"ok"))).collect();
         Site {
             records,
-            discovery: Discovery::start(all_up(&addresses)),
+            discovery: DiscoveryStub::start(all_up(&addresses)),
             socket: TcpListener::bind(free_address()).unwrap(),
             folder: folder(name),
         }
@@ -42,15 +42,16 @@
         let set_up = |c: &mut std::process::Command| faults.into_iter().for_each(|f| f.preload(c));
         let node = Node::inherit_with(self.discovery.address, &self.socket, &self.folder, console, set_up);
         wait_for("the process is ready", || {
-            std::net::TcpStream::connect(node.console()).is_ok() && node.call("ready").starts_with("done")
+            std::net::TcpStream::connect(node.admin_address()).is_ok()
+                && node.admin_command("ready").starts_with("done")
         });
         node
     }
 
     /// How many of 60 requests each server gets.
     fn shares(&self, node: &Node) -> Vec<usize> {
-        let before: Vec<usize> = self.records.iter().map(Record::count).collect();
-        (0..60).for_each(|_| assert_eq!(ask(node.address, &request("page", 4000)).status(), 200));
+        let before: Vec<usize> = self.records.iter().map(RequestRecord::count).collect();
+        (0..60).for_each(|_| assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200));
         self.records.iter().zip(before).map(|(r, before)| r.count() - before).collect()
     }
 
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_done_outlives_the_process_though_the_disk_fails_for_a_while() {
+fn an_acknowledged_override_survives_the_process_despite_disk_errors() {
     for (seed, fault) in (1..).zip([
         SyscallFault::WriteFails,
         SyscallFault::WriteHalves,
@@ -73,15 +74,15 @@
         let mut node = site.process(Some(&faults));
         // Nothing can be kept: no `done`, and nothing has changed.
         faults.set(fault, 1);
-        let answer = node.call("disable-server s-2");
+        let answer = node.admin_command("disable-server s-2");
         assert!(answer.starts_with("error"), "{fault:?}: {answer}");
         assert!(site.shares(&node)[2] > 0, "{fault:?}: an `error` changes nothing");
         // Every other try fails: tried again within the time of the answer.
         faults.set(fault, 2);
-        let answer = node.call("disable-server s-2");
+        let answer = node.admin_command("disable-server s-2");
         assert!(answer.starts_with("done"), "{fault:?}: {answer}");
         faults.set(fault, 1);
-        assert!(node.call("enable-server s-2").starts_with("error"), "{fault:?}");
+        assert!(node.admin_command("enable-server s-2").starts_with("error"), "{fault:?}");
         node.kill();
         let next = site.process(None);
         assert_eq!(site.shares(&next)[2], 0, "{fault:?}: out of service");
@@ -89,18 +90,18 @@
 }
 
 #[test]
-fn a_kill_in_the_middle_of_a_write_leaves_the_last_calls() {
+fn a_kill_during_a_write_leaves_the_last_overrides() {
     let site = Site::new("kill");
     let faults = SyscallFaults::new(7);
     let mut node = site.process(Some(&faults));
-    assert!(node.call("disable-server s-1").starts_with("done"));
+    assert!(node.admin_command("disable-server s-1").starts_with("done"));
     faults.set(SyscallFault::KillInWrite, 1);
-    let _ = std::panic::catch_unwind(|| node.call("disable-server s-2"));
-    wait_for("it is killed", || !node.running());
+    let _ = std::panic::catch_unwind(|| node.admin_command("disable-server s-2"));
+    wait_for("it is killed", || !node.is_running());
     // A file that was written in place would be cut like this.
     let next = site.process(None);
     assert_eq!(site.shares(&next)[1], 0, "out of service");
-    assert!(next.call("disable-server s-0").starts_with("done"));
+    assert!(next.admin_command("disable-server s-0").starts_with("done"));
     drop(next);
     for file in site.files().iter().filter(|name| !name.contains("last")) {
         let path = site.folder.join(file);
@@ -114,10 +115,10 @@
 }
 
 #[test]
-fn the_first_call_ever_outlives_a_file_that_was_cut() {
+fn the_first_override_survives_a_truncated_file() {
     let site = Site::new("first");
     let mut node = site.process(None);
-    assert!(node.call("disable-server s-1").starts_with("done"));
+    assert!(node.admin_command("disable-server s-1").starts_with("done"));
     node.kill();
     let path = site.folder.join("node-calls.json");
     let text = std::fs::read(&path).unwrap();
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn calls_to_two_processes_at_once_both_hold() {
+fn overrides_by_two_processes_at_once_both_hold() {
     let site = Site::new("both");
     let faults = SyscallFaults::new(8);
     let old = site.process(Some(&faults));
@@ -136,11 +137,11 @@
     faults.set(SyscallFault::HoldMs, 50);
     faults.set(SyscallFault::HeldRename, 1);
     std::thread::scope(|scope| {
-        let first = scope.spawn(|| old.call("disable-server s-0"));
+        let first = scope.spawn(|| old.admin_command("disable-server s-0"));
         wait_for("the old process is about to replace the file", || {
             site.files().iter().any(|name| name.contains(&old.pid().to_string()))
         });
-        let second = new.call("disable-server s-1");
+        let second = new.admin_command("disable-server s-1");
         let first = first.join().unwrap();
         assert!(first.starts_with("done") && second.starts_with("done"), "{first} {second}");
     });
@@ -152,10 +153,10 @@
 }
 
 #[test]
-fn a_process_number_that_is_given_again_is_no_other_process() {
+fn a_reused_process_id_is_not_taken_for_the_other_process() {
     let site = Site::new("number");
     let mut node = site.process(None);
-    assert!(node.call("disable-server s-1").starts_with("done"));
+    assert!(node.admin_command("disable-server s-1").starts_with("done"));
     node.kill();
     // Its number belongs to a process that has nothing to do with this, and started long before.
     for file in site.files() {
@@ -170,18 +171,18 @@
     let mut next = site.process(None);
     assert_eq!(site.shares(&next)[1], 0, "the state counts all the same");
     next.terminate();
-    assert!(next.ended().success());
+    assert!(next.wait_for_exit().success());
     let log = next.log();
     assert!(!log.contains("beside this one") && !log.contains("successor"), "{log}");
 }
 
 #[test]
-fn a_server_that_is_put_back_is_cold_for_the_next_process_too() {
+fn an_enabled_endpoint_starts_slowly_for_the_next_process_too() {
     let site = Site::new("cold");
     let mut node = site.process(None);
-    assert!(node.call("disable-server s-1").starts_with("done"));
+    assert!(node.admin_command("disable-server s-1").starts_with("done"));
     // It is restarted meanwhile, and discovery is late to say so.
-    assert!(node.call("enable-server s-1").starts_with("done in service again, cold"));
+    assert!(node.admin_command("enable-server s-1").starts_with("done in service again, cold"));
     node.kill();
     let next = site.process(None);
     let share = site.shares(&next)[1];
--- a/tests/node_handover.rs
+++ b/tests/node_handover.rs
@@ -27,9 +27,9 @@
 }
 
 #[test]
-fn two_processes_serve_behind_one_socket_and_only_the_old_one_ends() {
-    let record = Record::default();
-    let discovery = Discovery::start(all_up(&backends(2, &record, |_, _| ok(b"ok"))));
+fn two_processes_share_a_socket_and_only_the_old_one_ends() {
+    let record = RequestRecord::default();
+    let discovery = DiscoveryStub::start(all_up(&start_endpoints(2, &record, |_, _| ok(b"ok"))));
     let socket = TcpListener::bind(free_address()).unwrap();
     let folder = folder("two");
     let peers = free_address().to_string();
@@ -38,30 +38,30 @@
         c["peer_listen"] = peers.clone().into();
     };
     let mut old = Node::inherit(discovery.address, &socket, &folder, with_console);
-    wait_for("the old process is ready", || old.up() == 200);
+    wait_for("the old process is ready", || old.readiness_status() == 200);
     for _ in 0..2 {
         let new = Node::inherit(discovery.address, &socket, &folder, with_console);
         wait_for("the new process is ready", || call_if(&new, "ready").starts_with("done"));
         old.terminate();
         // Whoever comes meanwhile is served by one of them.
         for _ in 0..50 {
-            assert_eq!(ask(new.address, &request("page", 4000)).status(), 200);
+            assert_eq!(send_request(new.address, &request("page", 4000)).status(), 200);
         }
-        assert!(old.ended().success());
-        assert_eq!(ask(new.address, &request("page", 4000)).status(), 200);
+        assert!(old.wait_for_exit().success());
+        assert_eq!(send_request(new.address, &request("page", 4000)).status(), 200);
         old = new;
     }
-    assert!(old.running());
+    assert!(old.is_running());
 }
 
 /// A call to a process that may not listen yet.
 fn call_if(node: &Node, line: &str) -> String {
-    let there = std::net::TcpStream::connect(node.console()).is_ok();
-    if there { node.call(line) } else { String::new() }
+    let there = std::net::TcpStream::connect(node.admin_address()).is_ok();
+    if there { node.admin_command(line) } else { String::new() }
 }
 
 #[test]
-fn a_descriptor_that_is_no_listening_socket_ends_the_start_with_its_name() {
+fn a_descriptor_that_is_no_listening_socket_is_named_and_ends_the_start() {
     let start = |number: &str, stdin: Stdio, command: &str| {
         let mut start = Command::new("/bin/sh");
         start.args(["-c", command, env!("CARGO_BIN_EXE_wheelpath-node")]).stdin(stdin);
@@ -93,72 +93,74 @@
 }
 
 /// Three backends with a record each, and a discovery that lists them.
-fn three_backends() -> (Vec<Record>, Discovery) {
-    let records: Vec<Record> = (0..3).map(|_| Record::default()).collect();
-    let addresses: Vec<_> = records.iter().map(|r| backend(r, |_, _| ok(b"ok"))).collect();
-    (records, Discovery::start(all_up(&addresses)))
+fn three_backends() -> (Vec<RequestRecord>, DiscoveryStub) {
+    let records: Vec<RequestRecord> = (0..3).map(|_| RequestRecord::default()).collect();
+    let addresses: Vec<_> = records.iter().map(|r| start_endpoint(r, |_, _| ok(b"ok"))).collect();
+    (records, DiscoveryStub::start(all_up(&addresses)))
 }
 
 fn ask_many(node: &Node, count: usize) {
-    (0..count).for_each(|_| assert_eq!(ask(node.address, &request("page", 4000)).status(), 200));
+    (0..count).for_each(|_| assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200));
 }
 
 #[test]
-fn a_ban_outlives_the_process_and_holds_for_both_while_there_are_two() {
+fn a_disable_outlives_the_process_and_holds_for_both_while_there_are_two() {
     let (records, discovery) = three_backends();
     let socket = TcpListener::bind(free_address()).unwrap();
     let folder = folder("ban");
     let old = Node::inherit(discovery.address, &socket, &folder, with_console);
-    wait_for("the old process is ready", || old.up() == 200);
-    assert!(old.call("disable-server s-0").starts_with("done"));
+    wait_for("the old process is ready", || old.readiness_status() == 200);
+    assert!(old.admin_command("disable-server s-0").starts_with("done"));
     let mut new = Node::inherit(discovery.address, &socket, &folder, with_console);
     wait_for("the new process is ready", || call_if(&new, "ready").starts_with("done"));
     ask_many(&new, 40);
     assert_eq!(records[0].count(), 0, "out of service for both");
     // A call to either reaches the other: only who knows of a call has something to undo.
     for (called, told) in [(&new, &old), (&old, &new)] {
-        assert!(called.call("disable-server s-1").starts_with("done out of service"));
+        assert!(called.admin_command("disable-server s-1").starts_with("done out of service"));
         wait_for("the other process knows who is out", || {
-            told.call("enable-server s-1").starts_with("done in service")
+            told.admin_command("enable-server s-1").starts_with("done in service")
+        });
+        wait_for("and that is known back", || {
+            called.admin_command("disable-server s-1") == "done out of service\n"
         });
-        wait_for("and that is known back", || called.call("disable-server s-1") == "done out of service\n");
         wait_for("the other process knows that, too", || {
-            told.call("enable-server s-1").starts_with("done in service")
+            told.admin_command("enable-server s-1").starts_with("done in service")
         });
     }
     drop(old);
     ask_many(&new, 40);
     assert_eq!(records[0].count(), 0, "still out of service");
-    assert!(new.running());
+    assert!(new.is_running());
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn a_call_that_the_other_process_overwrites_reaches_it_all_the_same() {
+fn an_override_that_the_other_process_overwrites_is_applied_all_the_same() {
     let (_, discovery) = three_backends();
     let socket = TcpListener::bind(free_address()).unwrap();
     let folder = folder("overwritten");
     let old = Node::inherit(discovery.address, &socket, &folder, with_console);
-    wait_for("the old process is ready", || old.up() == 200);
+    wait_for("the old process is ready", || old.readiness_status() == 200);
     let new = Node::inherit(discovery.address, &socket, &folder, with_console);
     wait_for("the new process is ready", || call_if(&new, "ready").starts_with("done"));
     let file = folder.join("node-calls.json");
-    assert!(old.call("disable-server s-2").starts_with("done"));
-    assert!(new.call("enable-server s-2").starts_with("done in service"));
+    assert!(old.admin_command("disable-server s-2").starts_with("done"));
+    assert!(new.admin_command("enable-server s-2").starts_with("done in service"));
     // The new process has read the file, is about to write it, and writes what was in it before the call.
-    new.frozen(|| {
+    new.while_stopped(|| {
         let before = std::fs::read(&file).unwrap();
-        assert!(old.call("disable-server s-1").starts_with("done out of service"));
+        assert!(old.admin_command("disable-server s-1").starts_with("done out of service"));
         std::fs::write(&file, before).unwrap();
     });
     wait_for("the new process knows of the call", || {
-        new.call("enable-server s-1").starts_with("done in service")
+        new.admin_command("enable-server s-1").starts_with("done in service")
     });
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn a_state_that_cannot_be_read_is_no_reason_not_to_start() {
+fn a_process_starts_with_an_unreadable_state_file() {
     let (_, discovery) = three_backends();
     let folder = folder("garbled");
     for (text, why) in [
@@ -175,10 +177,10 @@
         }
         let _ = std::fs::remove_file(folder.join("node-state.json.last"));
         let mut node = Node::inherit(discovery.address, &socket, &folder, with_console);
-        wait_for("it is ready", || node.up() == 200);
+        wait_for("it is ready", || node.readiness_status() == 200);
         ask_many(&node, 1);
         node.terminate();
-        assert!(node.ended().success());
+        assert!(node.wait_for_exit().success());
         let log = node.log();
         assert!(log.contains("starts without") && log.contains(why), "{log}");
     }
@@ -186,20 +188,20 @@
 }
 
 #[test]
-fn a_process_with_a_successor_takes_no_new_connections_once_told_to_stop() {
+fn a_terminated_process_with_a_successor_takes_no_new_connections() {
     let (records, discovery) = three_backends();
     let socket = TcpListener::bind(free_address()).unwrap();
     let folder = folder("stop");
     let mut old = Node::inherit(discovery.address, &socket, &folder, with_console);
-    wait_for("the old process is ready", || old.up() == 200);
+    wait_for("the old process is ready", || old.readiness_status() == 200);
     let mut kept = Client::connect(old.address);
-    assert_eq!(kept.ask(&request("page", 4000)).status(), 200);
+    assert_eq!(kept.send_and_receive(&request("page", 4000)).status(), 200);
     let mut new = Node::inherit(discovery.address, &socket, &folder, with_console);
     wait_for("the new process is ready", || call_if(&new, "ready").starts_with("done"));
     // The old one may have written its state just as the new one declared itself.
     let file = folder.join("node-state.json");
-    let told = |pid: u32| format!("\"pid\":{pid},");
-    let named = |pid| std::fs::read_to_string(&file).is_ok_and(|s| s.contains(&told(pid)));
+    let pid_field = |pid: u32| format!("\"pid\":{pid},");
+    let named = |pid| std::fs::read_to_string(&file).is_ok_and(|s| s.contains(&pid_field(pid)));
     wait_for("the new process declares itself", || named(new.pid()));
     let text = std::fs::read_to_string(&file).unwrap();
     let draft = folder.join("draft");
@@ -208,22 +210,22 @@
     std::fs::rename(draft, &file).unwrap();
     wait_for("the new process declares itself again", || named(new.pid()));
     // Once the old one goes by a call to the new one, unasked, it has seen who serves beside it.
-    assert!(new.call("disable-server s-0").starts_with("done"));
+    assert!(new.admin_command("disable-server s-0").starts_with("done"));
     wait_for("the old process knows", || {
         let before = records[0].count();
-        (0..20).for_each(|_| assert_eq!(kept.ask(&request("page", 4000)).status(), 200));
+        (0..20).for_each(|_| assert_eq!(kept.send_and_receive(&request("page", 4000)).status(), 200));
         records[0].count() == before
     });
     old.terminate();
-    assert!(old.ended().success());
+    assert!(old.wait_for_exit().success());
     // On its kept connection the old one said nothing more than goodbye, and the new one serves all that come.
-    assert!(kept.answer().is_none());
+    assert!(kept.response().is_none());
     ask_many(&new, 20);
     let log = old.log();
     let met = |pid: u32| format!("handover: process {pid} serves beside this one");
     assert_eq!(log.matches(&met(new.pid())).count(), 1, "{log}");
     new.terminate();
-    assert!(new.ended().success());
+    assert!(new.wait_for_exit().success());
     let of_new = new.log();
     assert_eq!(of_new.matches(&met(old.pid())).count(), 1, "{of_new}");
     assert!(log.contains("a successor takes new connections"), "{log}");
@@ -231,7 +233,7 @@
 }
 
 #[test]
-fn a_process_whose_list_is_older_than_that_of_the_one_before_asks_at_once() {
+fn a_process_with_an_older_list_than_its_predecessor_polls_at_once() {
     let (_, discovery) = three_backends();
     let socket = TcpListener::bind(free_address()).unwrap();
     let folder = folder("list");
@@ -251,25 +253,25 @@
         std::fs::write(folder.join("node-state.json"), text).unwrap();
         let calls = discovery.calls();
         let mut node = Node::inherit(discovery.address, &socket, &folder, asked);
-        wait_for("it listens", || node.up() == 200);
+        wait_for("it listens", || node.readiness_status() == 200);
         if behind {
             wait_for("discovery is asked", || discovery.calls() > calls);
         }
         node.terminate();
-        assert!(node.ended().success());
+        assert!(node.wait_for_exit().success());
         assert_eq!(node.log().contains("a newer list than the one given here"), behind, "{list}");
     }
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn a_thousand_servers_and_a_thousand_peers_fit_into_the_smallest_memory() {
+fn a_thousand_endpoints_and_peers_fit_into_the_smallest_memory() {
     const MANY: usize = 1024;
-    let record = Record::default();
-    let address = backend(&record, |_, _| ok(b"x"));
+    let record = RequestRecord::default();
+    let address = start_endpoint(&record, |_, _| ok(b"x"));
     // All leave later: one that either process had lost from its list would still be there.
     let mut targets: Vec<_> = (0..MANY).map(|n| target(&format!("s-{n}"), address, "up")).collect();
-    let discovery = Discovery::start(targets.clone());
+    let discovery = DiscoveryStub::start(targets.clone());
     let socket = TcpListener::bind(free_address()).unwrap();
     let folder = folder("many");
     let (listen, peers): (_, Vec<String>) = (
@@ -284,8 +286,8 @@
         c["peers"] = peers.clone().into();
     };
     let old = Node::inherit(discovery.address, &socket, &folder, many);
-    wait_for("the old process is ready", || old.up() == 200);
-    assert!(old.call(&format!("disable-server s-{}", MANY - 1)).starts_with("done"));
+    wait_for("the old process is ready", || old.readiness_status() == 200);
+    assert!(old.admin_command(&format!("disable-server s-{}", MANY - 1)).starts_with("done"));
     wait_for("the state names all of them", || {
         let state = std::fs::read_to_string(folder.join("node-state.json")).unwrap_or_default();
         state.matches("\"served\"").count() == MANY
@@ -293,18 +295,18 @@
     let mut new = Node::inherit(discovery.address, &socket, &folder, many);
     wait_for("the new process is ready", || call_if(&new, "ready").starts_with("done"));
     for _ in 0..20 {
-        assert_eq!(ask(new.address, &request("page", 4000)).status(), 200);
+        assert_eq!(send_request(new.address, &request("page", 4000)).status(), 200);
     }
     targets.iter_mut().for_each(|target| target["state"] = "draining".into());
     discovery.set(targets);
-    let nobody = |node: &Node| node.call("ready").starts_with("error");
+    let nobody = |node: &Node| node.admin_command("ready").starts_with("error");
     wait_for("nobody is left but the one out of service", || nobody(&old) && nobody(&new));
     let (old_kb, new_kb) = (old.memory_kb(), new.memory_kb());
     assert!(old_kb + new_kb < 32 * 1024, "{old_kb} and {new_kb} KB");
     println!("{old_kb} and {new_kb} KB at {MANY} servers and peers");
     drop(old);
     new.terminate();
-    assert!(new.ended().success());
+    assert!(new.wait_for_exit().success());
     let log = new.log();
     assert!(
         log.contains(&format!("{MANY} servers")) && log.contains("1 out of service by earlier calls"),
--- a/tests/node_rude.rs
+++ b/tests/node_hostile_clients.rs
@@ -23,10 +23,10 @@
 }
 
 #[test]
-fn silence_and_half_requests_are_ended_while_a_usual_client_is_served() {
-    let record = Record::default();
-    let addresses = backends(2, &record, |_, _| ok(b"x"));
-    let discovery = Discovery::start(all_up(&addresses));
+fn silent_and_half_sent_requests_are_ended_while_others_are_served() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(2, &record, |_, _| ok(b"x"));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let halves: [&[u8]; 5] = [
         b"",
@@ -50,7 +50,7 @@
             let mut served = 0;
             let mut client = Client::connect(node.address);
             while !over.load(Ordering::SeqCst) {
-                assert_eq!(client.ask(&request("page", 4000)).status(), 200);
+                assert_eq!(client.send_and_receive(&request("page", 4000)).status(), 200);
                 served += 1;
             }
             served
@@ -63,10 +63,10 @@
 }
 
 #[test]
-fn who_reads_nothing_and_who_sends_without_end_is_not_kept() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(&vec![b'x'; 60_000]));
-    let discovery = Discovery::start(all_up(&addresses));
+fn clients_that_never_read_or_never_stop_sending_are_disconnected() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(1, &record, |_, _| ok(&vec![b'x'; 60_000]));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let before = node.descriptors();
     // Far more asked for than sockets hold, and nothing read.
@@ -89,23 +89,23 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_turned_away_and_free_again_after() {
-    let record = Record::default();
-    let addresses = backends(2, &record, |n, _| {
+fn the_trace_id_of_an_open_request_is_rejected_until_it_is_answered() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(2, &record, |n, _| {
         if n == 0 {
             thread::sleep(Duration::from_millis(300));
         }
         ok(b"x")
     });
-    let discovery = Discovery::start(all_up(&addresses));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let first = request("page", 4000);
     let mut usual = Client::connect(node.address);
     assert!(usual.send(&first));
     wait_for("the request is open", || record.count() == 1);
-    let refused = ask(node.address, &first);
+    let refused = send_request(node.address, &first);
     assert_eq!((refused.status(), refused.header("connection")), (409, Some("close")));
-    assert_eq!(usual.answer().unwrap().status(), 200);
+    assert_eq!(usual.response().unwrap().status(), 200);
     assert_eq!(record.count(), 1);
     // Also free after a client that left.
     let second = request("page", 4000);
@@ -115,15 +115,15 @@
         drop(leaver);
     }
     for id in [first, second] {
-        assert_eq!(ask(node.address, &id).status(), 200);
+        assert_eq!(send_request(node.address, &id).status(), 200);
     }
 }
 
 #[test]
-fn hundreds_of_strangers_take_neither_descriptors_nor_time_from_usual_clients() {
-    let record = Record::default();
-    let addresses = backends(4, &record, |_, _| ok(b"x"));
-    let discovery = Discovery::start(all_up(&addresses));
+fn hundreds_of_hostile_clients_do_not_slow_others() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(4, &record, |_, _| ok(b"x"));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| {
         c["limits"] = serde_json::json!({"cores": 1.0, "memory_mb": 32, "sockets": 256});
     });
@@ -136,11 +136,11 @@
             stranger.send([&b""[..], b"POST /api HTTP/1.1\r\nX-", b"\0\0\r\n\r\n"][n % 3]);
             strangers.push(stranger);
         }
-        assert_eq!(usual.ask(&request("bid", 900)).status(), 200, "round {round}");
-        quiet_moment();
-        assert_eq!(ask(node.address, &request("page", 4000)).status(), 200, "round {round}");
+        assert_eq!(usual.send_and_receive(&request("bid", 900)).status(), 200, "round {round}");
+        wait_until_connection_is_reusable();
+        assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200, "round {round}");
         assert!(node.descriptors() <= 256, "{} descriptors", node.descriptors());
-        quiet_moment();
+        wait_until_connection_is_reusable();
         // A connection to a backend is dearer than a stranger's: none is made anew for these.
         assert!(record.opened.load(Ordering::SeqCst) <= 4, "{:?}", record.opened);
     }
@@ -150,13 +150,13 @@
 }
 
 #[test]
-fn bodies_take_no_more_than_their_part_of_the_memory() {
-    let record = Record::default();
-    let addresses = backends(4, &record, |_, _| {
+fn request_bodies_take_no_more_than_their_share_of_memory() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(4, &record, |_, _| {
         thread::sleep(Duration::from_millis(200));
         ok(b"x")
     });
-    let discovery = Discovery::start(all_up(&addresses));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["memory_mb"] = 1.into());
     let body = vec![b'x'; 60_000];
     // What is announced and held back takes nothing from others.
@@ -167,7 +167,7 @@
         );
         assert!(holder.send(head.as_bytes()));
     }
-    assert_eq!(ask(node.address, &request("bid", 900)).status(), 200);
+    assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200);
     let mut clients: Vec<Client> = (0..12).map(|_| Client::connect(node.address)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         let head = format!(
@@ -175,7 +175,7 @@
         );
         assert!(client.send(head.as_bytes()) && client.send(&body));
     }
-    let answers: Vec<Message> = clients.iter_mut().map(|c| c.answer().unwrap()).collect();
+    let answers: Vec<Message> = clients.iter_mut().map(|c| c.response().unwrap()).collect();
     let of = |status| answers.iter().filter(move |a| a.status() == status);
     assert!(of(200).count() >= 3, "{answers:?}");
     assert!(of(503).count() >= 1 && of(503).all(|a| a.header("retry-after").is_some()), "{answers:?}");
@@ -183,6 +183,6 @@
     wait_for("room again", || {
         let head =
             "POST /api HTTP/1.1\r\nHost: n\r\nX-Trace-Id: d\r\nX-Qos: bid\r\nContent-Length: 60000\r\n\r\n";
-        attempt(node.address, &[head.as_bytes(), &body].concat()).is_some_and(|m| m.status() == 200)
+        try_request(node.address, &[head.as_bytes(), &body].concat()).is_some_and(|m| m.status() == 200)
     });
 }
--- a/tests/node_churn.rs
+++ b/tests/node_leaks.rs
@@ -4,16 +4,16 @@
 use node::*;
 
 #[test]
-fn what_has_gone_leaves_neither_descriptors_nor_memory_behind() {
+fn closed_connections_leave_no_descriptors_or_memory_behind() {
     const ROUNDS: u32 = 400;
-    let record = Record::default();
-    let addresses = backends(3, &record, |_, _| ok(&[b'x'; 2000]));
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(3, &record, |_, _| ok(&[b'x'; 2000]));
     // New ids in each round, at the addresses of those before.
     let named = |round: u32| -> Vec<_> {
         let line = |(n, a): (usize, &_)| target(&format!("s-{round}-{n}"), *a, "up");
         addresses.iter().enumerate().map(line).collect()
     };
-    let discovery = Discovery::start(named(0));
+    let discovery = DiscoveryStub::start(named(0));
     let node = Node::start(discovery.address, |c| {
         c["limits"] = serde_json::json!({"cores": 1.0, "memory_mb": 32, "sockets": 256});
     });
@@ -25,9 +25,9 @@
         discovery.set(named(round));
         wait_for("the list is taken", || discovery.calls() > calls);
         let mut client = Client::connect(node.address);
-        assert_eq!(client.ask(&request("page", 4000)).status(), 200, "round {round}");
+        assert_eq!(client.send_and_receive(&request("page", 4000)).status(), 200, "round {round}");
         kept.push(client);
-        assert_eq!(ask(node.address, &request("bid", 900)).status(), 200, "round {round}");
+        assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200, "round {round}");
         assert!(node.descriptors() <= 256, "{} descriptors", node.descriptors());
         if round == ROUNDS / 2 {
             half = node.memory_kb();
--- a/tests/node_spoilt.rs
+++ b/tests/node_malformed_responses.rs
@@ -26,79 +26,76 @@
 }
 
 #[test]
-fn a_spoilt_answer_is_a_failed_attempt_that_may_have_run() {
+fn a_malformed_response_is_a_failed_attempt_that_may_have_run() {
     for (kind, bytes) in spoilt() {
-        let record = Record::default();
+        let record = RequestRecord::default();
         // The first answer to each request is spoilt, the second is not.
-        let addresses =
-            backends(
-                4,
-                &record,
-                move |n, _| if n % 2 == 0 { Act::Say(bytes.clone()) } else { ok(b"good") },
-            );
-        let discovery = Discovery::start(all_up(&addresses));
+        let addresses = start_endpoints(4, &record, move |n, _| {
+            if n % 2 == 0 { ScriptedReply::Send(bytes.clone()) } else { ok(b"good") }
+        });
+        let discovery = DiscoveryStub::start(all_up(&addresses));
         let mut node = Node::start(discovery.address, |_| {});
         // Long after the time that a spoilt answer is seen in, long before any deadline.
         let soon = Duration::from_millis(1200);
         for class in ["page", "pay"] {
             let (before, begun) = (record.count(), Instant::now());
-            let answer = ask(node.address, &request(class, 4000));
+            let answer = send_request(node.address, &request(class, 4000));
             assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]), "{kind}, {class}");
             assert!(begun.elapsed() < soon, "{kind}: {:?}", begun.elapsed());
             assert_eq!(record.count(), before + 2, "{kind}, {class}");
         }
         // An unsafe one may have run: failed, no promise, no second attempt.
         let before = record.count();
-        assert_eq!(ask(node.address, &request("bid", 900)).status(), 502, "{kind}");
+        assert_eq!(send_request(node.address, &request("bid", 900)).status(), 502, "{kind}");
         assert_eq!(record.count(), before + 1, "{kind}");
         assert!(node.memory_kb() < 48 * 1024, "{kind}: {} KB", node.memory_kb());
         node.terminate();
-        assert!(node.ended().success());
+        assert!(node.wait_for_exit().success());
         assert!(!node.log().contains("congested"), "{kind}: backends were blamed");
     }
 }
 
 #[test]
-fn one_spoilt_answer_costs_its_backend_no_other_connection() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |n, _| {
+fn a_malformed_response_closes_no_other_connection() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(1, &record, |n, _| {
         std::thread::sleep(Duration::from_millis(100));
-        if n == 3 { Act::Say(b"noise, and no answer\r\n\r\n".to_vec()) } else { ok(b"x") }
+        if n == 3 { ScriptedReply::Send(b"noise, and no answer\r\n\r\n".to_vec()) } else { ok(b"x") }
     });
-    let discovery = Discovery::start(all_up(&addresses));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(node.address)).collect();
     clients.iter_mut().for_each(|c| assert!(c.send(&request("bid", 900))));
-    clients.iter_mut().for_each(|c| assert_eq!(c.answer().unwrap().status(), 200));
+    clients.iter_mut().for_each(|c| assert_eq!(c.response().unwrap().status(), 200));
     let opened = record.opened.load(Ordering::SeqCst);
-    quiet_moment();
-    assert_eq!(ask(node.address, &request("bid", 900)).status(), 502);
+    wait_until_connection_is_reusable();
+    assert_eq!(send_request(node.address, &request("bid", 900)).status(), 502);
     wait_for("the spoilt connection closes", || record.closed.load(Ordering::SeqCst) >= 1);
     assert_eq!(record.closed.load(Ordering::SeqCst), 1);
-    assert_eq!(ask(node.address, &request("bid", 900)).status(), 200);
+    assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200);
     assert_eq!(record.opened.load(Ordering::SeqCst), opened, "a new connection");
 }
 
 #[test]
-fn what_comes_behind_an_answer_answers_nothing() {
+fn bytes_after_a_response_answer_no_request() {
     let right = |n: usize| format!("answer {n}").into_bytes();
     let surplus: [Vec<u8>; 3] =
         [reply("200 OK", "", b"answer of another"), b"\0\x01 noise".to_vec(), b"\r\n".to_vec()];
     for (later, extra) in surplus.iter().flat_map(|s| [(false, s.clone()), (true, s.clone())]) {
-        let record = Record::default();
-        let addresses = backends(1, &record, move |n, _| {
+        let record = RequestRecord::default();
+        let addresses = start_endpoints(1, &record, move |n, _| {
             let good = reply("200 OK", "", &right(n));
             if later {
-                Act::SayAndThen(good, Duration::from_millis(2), extra.clone())
+                ScriptedReply::SendInTwoParts(good, Duration::from_millis(2), extra.clone())
             } else {
-                Act::Say([good, extra.clone()].concat())
+                ScriptedReply::Send([good, extra.clone()].concat())
             }
         });
-        let discovery = Discovery::start(all_up(&addresses));
+        let discovery = DiscoveryStub::start(all_up(&addresses));
         let node = Node::start(discovery.address, |_| {});
         let mut client = Client::connect(node.address);
         for n in 0..20 {
-            let answer = client.ask(&request("bid", 900));
+            let answer = client.send_and_receive(&request("bid", 900));
             // A connection is used again 10 ms after an answer: a machine that is busy for so long shows nothing.
             if record.longest_pause_ms.load(Ordering::SeqCst) >= 10 {
                 break;
@@ -109,17 +106,17 @@
 }
 
 #[test]
-fn what_comes_ahead_of_an_answer_and_load_reports_that_cannot_be_read_do_no_harm() {
-    let record = Record::default();
+fn interim_responses_and_malformed_load_reports_do_no_harm() {
+    let record = RequestRecord::default();
     let ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
     let reports =
         ["", "TEXT", "inflight", "TEXT inflight=-7, util=1e999, queue=NaN", "BIN \u{ff}", "a=b=c,,=;"];
-    let addresses = backends(2, &record, move |n, _| {
+    let addresses = start_endpoints(2, &record, move |n, _| {
         let report = format!("Endpoint-Load-Metrics: {}\r\n", reports[n % reports.len()]);
         let good = reply("200 OK", &report, b"good");
-        Act::Say([ahead.as_bytes(), &good].concat())
+        ScriptedReply::Send([ahead.as_bytes(), &good].concat())
     });
-    let discovery = Discovery::start(all_up(&addresses));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     for via in ["none", "answers"] {
         let node = Node::start(discovery.address, |c| {
             c["settings"]["reporting"] =
@@ -127,7 +124,7 @@
         });
         let mut client = Client::connect(node.address);
         for n in 0..3 * reports.len() {
-            let answer = client.ask(&request("bid", 900));
+            let answer = client.send_and_receive(&request("bid", 900));
             assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]), "{via}, request {n}");
         }
     }
--- a/tests/node_reload.rs
+++ b/tests/node_reload.rs
@@ -7,15 +7,15 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_new_configuration_is_followed_under_load_and_a_bad_one_is_not() {
-    let place = |name: &'static [u8]| backend(&Record::default(), move |_, _| ok(name));
+fn a_new_configuration_is_applied_under_load_and_an_invalid_one_is_not() {
+    let place = |name: &'static [u8]| start_endpoint(&RequestRecord::default(), move |_, _| ok(name));
     let (a, b, c) = (place(b"a"), place(b"b"), place(b"c"));
     let only = |at| all_up(&[at]);
     // The second discovery counts from 1 again: what the first one's count was means nothing to it.
-    let first = Discovery::start(only(a));
+    let first = DiscoveryStub::start(only(a));
     (0..5).for_each(|_| first.set(only(a)));
     let mut node = Node::start(first.address, |_| {});
-    let served_by = |address| ask(address, &request("page", 4000)).body;
+    let served_by = |address| send_request(address, &request("page", 4000)).body;
     let address = node.address;
     let over = AtomicBool::new(false);
     thread::scope(|scope| {
@@ -24,14 +24,14 @@
                 scope.spawn(|| {
                     let mut client = Client::connect(address);
                     while !over.load(Ordering::SeqCst) {
-                        assert_eq!(client.ask(&request("page", 4000)).status(), 200);
+                        assert_eq!(client.send_and_receive(&request("page", 4000)).status(), 200);
                     }
                 })
             })
             .collect();
         wait_for("the first list", || served_by(address) == b"a");
         // The environment still names the first one.
-        let second = Discovery::start(only(b));
+        let second = DiscoveryStub::start(only(b));
         node.reload(second.address);
         wait_for("the second list", || served_by(address) == b"b");
         let calls = first.calls();
@@ -44,21 +44,21 @@
         let late = free_address();
         node.reload(late);
         assert_eq!(served_by(address), b"c");
-        let _third = Discovery::start_at(late, only(a));
+        let _third = DiscoveryStub::start_at(late, only(a));
         wait_for("the third list", || served_by(address) == b"a");
         assert_eq!(first.calls(), calls, "the first discovery was asked again");
         over.store(true, Ordering::SeqCst);
         load.into_iter().for_each(|l| l.join().unwrap());
     });
-    assert!(node.running());
+    assert!(node.is_running());
 }
 
 #[test]
-fn what_drains_right_after_a_new_configuration_is_known_in_time_though_calls_are_refused() {
-    let (leaving, staying) = (Record::default(), Record::default());
-    let addresses = [backend(&leaving, |_, _| ok(b"x")), backend(&staying, |_, _| ok(b"x"))];
+fn a_drain_after_a_new_configuration_is_known_in_time_despite_failed_polls() {
+    let (leaving, staying) = (RequestRecord::default(), RequestRecord::default());
+    let addresses = [start_endpoint(&leaving, |_, _| ok(b"x")), start_endpoint(&staying, |_, _| ok(b"x"))];
     let mut targets = all_up(&addresses);
-    let first = Discovery::start(targets.clone());
+    let first = DiscoveryStub::start(targets.clone());
     let mut node = Node::start(first.address, |c| {
         c["settings"]["membershipMode"] = "on_request".into();
         // After a failure so many nodes call again over some seconds.
@@ -67,14 +67,14 @@
     wait_for("a watch is out", || first.calls() >= 2);
     targets[0] = target("s-0", addresses[0], "draining");
     // The same service at another place: its count goes on, and it has too many callers.
-    let second = Discovery::start(all_up(&addresses));
+    let second = DiscoveryStub::start(all_up(&addresses));
     second.set(targets);
-    second.refuse(3);
+    second.reject_calls(3);
     let told = Instant::now() + Duration::from_secs(4);
     node.reload(second.address);
     wait_by(told, "the call after the one that is answered", || second.calls() >= 5);
-    let asked = second.asked();
+    let asked = second.call_lines();
     assert!(asked[3].contains("after=1&wait_ms=0 "), "all of the list, or a wait for news: {}", asked[3]);
     assert!(asked[4].contains("after=2&wait_ms=60000 "), "no watch: {}", asked[4]);
-    leaves_alone(&node, &leaving, &staying);
+    assert_only_staying_serves(&node, &leaving, &staying);
 }
--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -8,23 +8,23 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn an_answer_is_passed_on_byte_for_byte() {
-    let record = Record::default();
+fn a_response_is_forwarded_unchanged() {
+    let record = RequestRecord::default();
     let body: Vec<u8> = (0..=255_u8).cycle().take(60_000).collect();
     let sent = body.clone();
-    let addresses = backends(1, &record, move |_, _| ok(&sent));
-    let discovery = Discovery::start(all_up(&addresses));
+    let addresses = start_endpoints(1, &record, move |_, _| ok(&sent));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let request = b"POST /api?lot=7&x=%20y HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: 9b1f03aa5c7e2d41\r\n\
         X-Qos: pay\r\nX-Expires-In-Ms: 2000\r\nIdempotency-Key: 5c0f\r\nContent-Length: 6\r\n\r\n\x00\xff\r\n\r\n";
     let mut client = Client::connect(node.address);
     for _ in 0..3 {
-        let answer = client.ask(request);
+        let answer = client.send_and_receive(request);
         assert_eq!(answer.status(), 200);
         assert!(answer.body == body, "the body changed on its way");
-        quiet_moment();
+        wait_until_connection_is_reusable();
     }
-    let seen = record.seen.lock().unwrap();
+    let seen = record.requests.lock().unwrap();
     assert_eq!(seen[0].first_line, "POST /api?lot=7&x=%20y HTTP/1.1");
     assert_eq!(seen[0].body, b"\x00\xff\r\n\r\n");
     assert_eq!(seen[0].header("x-trace-id"), Some("9b1f03aa5c7e2d41"));
@@ -36,40 +36,41 @@
 
 /// Plays one request whose first attempt ends by `first`; any further one would be served.
 /// Gives the client's status and how many attempts were written.
-fn play(class: &str, first: Act) -> (u16, usize) {
-    let record = Record::default();
-    let addresses = backends(3, &record, move |n, _| if n == 0 { first.clone() } else { ok(b"second") });
-    let discovery = Discovery::start(all_up(&addresses));
+fn play(class: &str, first: ScriptedReply) -> (u16, usize) {
+    let record = RequestRecord::default();
+    let addresses =
+        start_endpoints(3, &record, move |n, _| if n == 0 { first.clone() } else { ok(b"second") });
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
-    let answer = ask(node.address, &request(class, 900));
+    let answer = send_request(node.address, &request(class, 900));
     if answer.status() == 200 {
         assert_eq!(answer.body, b"second");
     }
     (answer.status(), record.count())
 }
 
-fn ends_that_may_have_run() -> Vec<(&'static str, Act)> {
+fn ends_that_may_have_run() -> Vec<(&'static str, ScriptedReply)> {
     vec![
-        ("500", Act::Say(reply("500 Internal Server Error", "", b""))),
-        ("500 that claims it never ran", Act::Say(reply("500 No", "X-Never-Ran: 1\r\n", b""))),
-        ("503 without proof", Act::Say(reply("503 Service Unavailable", "", b""))),
-        ("404", Act::Say(reply("404 Not Found", "X-Never-Ran: 1\r\n", b""))),
-        ("cut before the answer", Act::SayAndClose(Vec::new())),
-        ("cut in the head", Act::SayAndClose(b"HTTP/1.1 200 O".to_vec())),
+        ("500", ScriptedReply::Send(reply("500 Internal Server Error", "", b""))),
+        ("500 that claims it never ran", ScriptedReply::Send(reply("500 No", "X-Never-Ran: 1\r\n", b""))),
+        ("503 without proof", ScriptedReply::Send(reply("503 Service Unavailable", "", b""))),
+        ("404", ScriptedReply::Send(reply("404 Not Found", "X-Never-Ran: 1\r\n", b""))),
+        ("cut before the answer", ScriptedReply::SendAndClose(Vec::new())),
+        ("cut in the head", ScriptedReply::SendAndClose(b"HTTP/1.1 200 O".to_vec())),
         (
             "cut in the body",
-            Act::SayAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_vec()),
+            ScriptedReply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_vec()),
         ),
-        ("no HTTP", Act::SayAndClose(b"what?\r\n\r\n".to_vec())),
+        ("no HTTP", ScriptedReply::SendAndClose(b"what?\r\n\r\n".to_vec())),
         (
             "a body over the limit",
-            Act::Say(b"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nx".to_vec()),
+            ScriptedReply::Send(b"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nx".to_vec()),
         ),
     ]
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_and_never_sent_twice() {
+fn a_not_idempotent_request_that_may_have_run_is_failed_and_not_repeated() {
     for (what, act) in ends_that_may_have_run() {
         let (status, attempts) = play("bid", act);
         assert_eq!((status, attempts), (502, 1), "{what}");
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn a_safe_or_keyed_request_that_may_have_run_is_sent_again() {
+fn an_idempotent_or_deduplicated_request_that_may_have_run_is_repeated() {
     for (what, act) in ends_that_may_have_run() {
         for class in ["page", "pay"] {
             assert_eq!(play(class, act.clone()), (200, 2), "{what}, {class}");
@@ -86,36 +87,36 @@
 }
 
 #[test]
-fn what_proves_that_it_never_ran_lets_every_class_go_on() {
+fn an_attempt_that_never_ran_is_repeated_for_every_class() {
     for status in ["503 Service Unavailable", "504 Gateway Timeout"] {
         for class in ["page", "bid", "pay"] {
-            let act = Act::Say(reply(status, "X-Never-Ran: 1\r\n", b""));
+            let act = ScriptedReply::Send(reply(status, "X-Never-Ran: 1\r\n", b""));
             assert_eq!(play(class, act), (200, 2), "{status}, {class}");
         }
     }
 }
 
 #[test]
-fn a_refused_connection_never_ran() {
-    let record = Record::default();
-    let mut addresses = backends(2, &record, |_, _| ok(b"live"));
+fn a_refused_connection_proves_that_the_request_never_ran() {
+    let record = RequestRecord::default();
+    let mut addresses = start_endpoints(2, &record, |_, _| ok(b"live"));
     addresses.push(free_address());
-    let discovery = Discovery::start(all_up(&addresses));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     for n in 0..12 {
-        assert_eq!(ask(node.address, &request("bid", 900)).status(), 200, "request {n}");
+        assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200, "request {n}");
     }
     assert_eq!(record.count(), 12);
 }
 
 #[test]
-fn a_silent_backend_costs_an_unsafe_request_its_time_and_no_second_attempt() {
-    let record = Record::default();
-    let addresses = backends(2, &record, |_, _| Act::Silent);
-    let discovery = Discovery::start(all_up(&addresses));
+fn a_silent_endpoint_costs_a_not_idempotent_request_its_time_and_no_repeat() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(2, &record, |_, _| ScriptedReply::Silent);
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let begun = Instant::now();
-    let answer = ask(node.address, &request("bid", 300));
+    let answer = send_request(node.address, &request("bid", 300));
     assert_eq!(answer.status(), 502);
     // The deadline, and the slack of the rule: a busy machine may be late.
     assert!(begun.elapsed() < Duration::from_millis(370), "the client has gone by then");
@@ -124,30 +125,31 @@
 }
 
 #[test]
-fn a_late_answer_reaches_nobody() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |n, _| {
+fn a_late_response_is_not_delivered() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(1, &record, |n, _| {
         std::thread::sleep(Duration::from_millis(if n == 0 { 400 } else { 0 }));
         ok(format!("answer {n}").as_bytes())
     });
-    let discovery = Discovery::start(all_up(&addresses));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let mut client = Client::connect(node.address);
-    assert_eq!(client.ask(&request("bid", 200)).status(), 502);
-    let next = client.ask(&request("page", 2000));
+    assert_eq!(client.send_and_receive(&request("bid", 200)).status(), 502);
+    let next = client.send_and_receive(&request("page", 2000));
     assert_eq!((next.status(), next.body), (200, b"answer 1".to_vec()));
 }
 
 #[test]
-fn a_stale_connection_is_not_sent_on() {
+fn a_stale_connection_is_not_used() {
     // The backend closes after each answer without saying so.
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| Act::SayAndCloseLater(reply("200 OK", "", b"bye")));
-    let discovery = Discovery::start(all_up(&addresses));
+    let record = RequestRecord::default();
+    let addresses =
+        start_endpoints(1, &record, |_, _| ScriptedReply::SendAndCloseLater(reply("200 OK", "", b"bye")));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let mut client = Client::connect(node.address);
     for n in 1..=5 {
-        assert_eq!(client.ask(&request("bid", 900)).status(), 200);
+        assert_eq!(client.send_and_receive(&request("bid", 900)).status(), 200);
         wait_for("the backend closes", || record.closed.load(SeqCst) == n);
         // The close is in the system's hands by now, not yet at the node.
         std::thread::sleep(Duration::from_millis(50));
@@ -155,16 +157,16 @@
 }
 
 #[test]
-fn nothing_usable_is_refused_at_once_with_a_time_to_come_back() {
-    let record = Record::default();
-    let addresses = backends(1, &record, |_, _| ok(b""));
-    let discovery = Discovery::start(all_up(&addresses));
+fn without_a_usable_endpoint_requests_are_rejected_at_once_with_retry_after() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(1, &record, |_, _| ok(b""));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     discovery.set(vec![target("s-0", addresses[0], "draining")]);
-    wait_for("the drain is known", || node.up() == 503);
+    wait_for("the drain is known", || node.readiness_status() == 503);
     for class in ["page", "bid", "pay"] {
         let begun = Instant::now();
-        let answer = ask(node.address, &request(class, 900));
+        let answer = send_request(node.address, &request(class, 900));
         assert_eq!(answer.status(), 503, "{class}");
         let wait: f64 = answer.header("retry-after").expect("Retry-After").parse().unwrap();
         assert!(wait > 0.0 && wait <= 2.0, "{wait} s");
@@ -174,10 +176,10 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
-    let record = Record::default();
-    let addresses = backends(2, &record, |_, _| Act::Silent);
-    let discovery = Discovery::start(all_up(&addresses));
+fn a_client_that_leaves_cancels_its_attempt() {
+    let record = RequestRecord::default();
+    let addresses = start_endpoints(2, &record, |_, _| ScriptedReply::Silent);
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let mut client = Client::connect(node.address);
     assert!(client.send(&request("page", 4000)));
@@ -211,13 +213,19 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_has_left_whatever_it_sent_behind_its_request() {
+fn no_attempt_is_sent_for_a_client_that_has_left() {
     for how in [Leave::Closes, Leave::Resets, Leave::EndsItsSending] {
         // The first attempt fails half a second after it came: a second would be made elsewhere.
-        let record = Record::default();
-        let late = || Act::SayAndThen(Vec::new(), Duration::from_millis(500), reply("500 Late", "", b""));
-        let addresses = backends(3, &record, move |_, _| late());
-        let discovery = Discovery::start(all_up(&addresses));
+        let record = RequestRecord::default();
+        let late = || {
+            ScriptedReply::SendInTwoParts(
+                Vec::new(),
+                Duration::from_millis(500),
+                reply("500 Late", "", b""),
+            )
+        };
+        let addresses = start_endpoints(3, &record, move |_, _| late());
+        let discovery = DiscoveryStub::start(all_up(&addresses));
         let node = Node::start(discovery.address, |_| {});
         let mut client = Client::connect(node.address);
         assert!(client.send(&request("page", 4000)));
@@ -227,7 +235,7 @@
         let half = leave(client, how);
         wait_for("the attempt is called off", || record.open_now() == 0);
         // Another's request shows that all is handled that came before.
-        let other = ask(node.address, &request("bid", 900));
+        let other = send_request(node.address, &request("bid", 900));
         assert_eq!(other.status(), 502, "{how:?}");
         assert_eq!(record.count(), 2, "{how:?}: the first attempt and the other client's");
         drop(half);
@@ -235,10 +243,10 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_its_attempt_waits_for_a_connection_is_not_sent_on() {
-    let (listener, address) = one_place();
+fn a_client_that_leaves_during_the_connect_withholds_the_attempt() {
+    let (listener, address) = listener_with_backlog_of_one();
     let filler = Client::connect(address);
-    let discovery = Discovery::start(all_up(&[address]));
+    let discovery = DiscoveryStub::start(all_up(&[address]));
     let node = Node::start(discovery.address, |c| {
         c["settings"]["limits"]["connectTimeoutMs"] = 5000.into();
         c["settings"]["limits"]["mayCancel"] = false.into();
@@ -251,28 +259,28 @@
     drop(client);
     // The node has looked at its clients since.
     for _ in 0..20 {
-        assert_eq!(node.up(), 200);
+        assert_eq!(node.readiness_status(), 200);
     }
     let (first, _) = listener.accept().unwrap();
     drop((first, filler));
-    assert_eq!(told(&listener), "", "sent on for one that has left");
+    assert_eq!(accept_and_read_to_end(&listener), "", "sent on for one that has left");
 }
 
 #[test]
-fn kept_connections_are_used_only_up_to_the_age_at_which_they_prove_good() {
+fn idle_connections_are_used_only_up_to_the_age_at_which_they_prove_good() {
     // Backends that drop what has been idle for a while, and say so only by a reset under the next request.
     const IDLE: Duration = Duration::from_millis(100);
-    let record = Record::default();
+    let record = RequestRecord::default();
     let (opened, last) = (record.opened.clone(), Mutex::new((0, Instant::now())));
-    let addresses = backends(1, &record, move |_, message| {
+    let addresses = start_endpoints(1, &record, move |_, message| {
         let mut last = last.lock().unwrap();
         let connections = opened.load(SeqCst);
         let kept = message.first_line.contains("/api") && last.0 == connections;
         let stale = kept && last.1.elapsed() > IDLE;
         *last = (connections, Instant::now());
-        if stale { Act::SayAndClose(Vec::new()) } else { ok(b"x") }
+        if stale { ScriptedReply::SendAndClose(Vec::new()) } else { ok(b"x") }
     });
-    let discovery = Discovery::start(all_up(&addresses));
+    let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| {
         // Whoever is held congested gets its trial soon.
         for class in c["settings"]["classes"].as_array_mut().unwrap() {
@@ -281,7 +289,7 @@
     });
     let (mut served, mut failed) = (0, 0);
     while served < 40 {
-        match ask(node.address, &request("bid", 900)).status() {
+        match send_request(node.address, &request("bid", 900)).status() {
             200 => served += 1,
             503 => {}
             _ => failed += 1,
@@ -292,7 +300,7 @@
     // Those that were idle for less are used again.
     let before = record.opened.load(SeqCst);
     for _ in 0..40 {
-        ask(node.address, &request("bid", 900));
+        send_request(node.address, &request("bid", 900));
         thread::sleep(Duration::from_millis(15));
     }
     let new = record.opened.load(SeqCst) - before;
--- a/tests/node_waiting.rs
+++ b/tests/node_stalls.rs
@@ -14,7 +14,7 @@
 const SLACK: Duration = Duration::from_millis(150);
 
 #[test]
-fn a_request_that_waited_for_the_process_is_given_only_the_time_that_is_left() {
+fn a_request_that_waited_to_be_accepted_has_only_the_remaining_time() {
     for (step_ms, one_in) in [(0, 0), (3_600_000, 0), (-3_600_000, 0), (0, 2), (0, 2)] {
         waits_for_the_process(step_ms, one_in);
     }
@@ -22,15 +22,15 @@
 
 /// Two requests come while no process runs; by the next one the wall clock has been stepped, and system calls fail.
 fn waits_for_the_process(step_ms: i64, one_in: i64) {
-    let record = Record::default();
+    let record = RequestRecord::default();
     let told: Arc<Mutex<Vec<(u64, Instant)>>> = Arc::default();
     let seen = told.clone();
-    let address = backend(&record, move |_, message| {
+    let address = start_endpoint(&record, move |_, message| {
         let expires = message.header("x-expires-in-ms").and_then(|ms| ms.parse().ok()).unwrap_or(u64::MAX);
         seen.lock().unwrap().push((expires, Instant::now()));
         ok(b"ok")
     });
-    let discovery = Discovery::start(all_up(&[address]));
+    let discovery = DiscoveryStub::start(all_up(&[address]));
     let socket = TcpListener::bind(free_address()).unwrap();
     let folder =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("waiting-{}-{step_ms}", std::process::id()));
@@ -42,7 +42,7 @@
         c["known"] = known.clone();
     };
     let mut first = Node::inherit(discovery.address, &socket, &folder, console);
-    wait_for("the first process is ready", || first.up() == 200);
+    wait_for("the first process is ready", || first.readiness_status() == 200);
     first.kill();
     told.lock().unwrap().clear();
     // Nobody takes these before the next process; the second has no time left by then.
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn a_request_whose_rest_came_while_the_node_had_no_turn_is_answered_under_pressure() {
-    let record = Record::default();
-    let discovery = Discovery::start(all_up(&backends(2, &record, |_, _| ok(b"ok"))));
+fn a_request_completed_while_the_node_was_suspended_is_answered_under_pressure() {
+    let record = RequestRecord::default();
+    let discovery = DiscoveryStub::start(all_up(&start_endpoints(2, &record, |_, _| ok(b"ok"))));
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 44.into());
     for round in 0..20 {
         let mut halves: Vec<(Client, Vec<u8>)> = (0..6)
@@ -87,15 +87,15 @@
             })
             .collect();
         // Their first halves are read, and they are no longer fresh.
-        quiet_moment();
-        let idle: Vec<Client> = node.frozen(|| {
+        wait_until_connection_is_reusable();
+        let idle: Vec<Client> = node.while_stopped(|| {
             // The node meets these first, and looks for places.
             let idle = (0..30).filter_map(|_| Client::try_connect(node.address)).collect();
             halves.iter_mut().for_each(|(client, rest)| assert!(client.send(rest)));
             idle
         });
         for (client, _) in &mut halves {
-            assert_eq!(client.answer().map(|m| m.status()), Some(200), "round {round}");
+            assert_eq!(client.response().map(|m| m.status()), Some(200), "round {round}");
         }
         drop(idle);
     }
--- a/tests/node_state_files.rs
+++ b/tests/node_state_files.rs
@@ -32,14 +32,15 @@
 /// A node that finds the files, before servers of which the third is down, and before no discovery.
 struct Successor {
     node: Node,
-    records: Vec<Record>,
+    records: Vec<RequestRecord>,
     folder: PathBuf,
 }
 
 impl Successor {
     fn start(version: &str) -> Successor {
-        let records: Vec<Record> = (0..4).map(|_| Record::default()).collect();
-        let addresses: Vec<SocketAddr> = records.iter().map(|r| backend(r, |_, _| ok(b"ok"))).collect();
+        let records: Vec<RequestRecord> = (0..4).map(|_| RequestRecord::default()).collect();
+        let addresses: Vec<SocketAddr> =
+            records.iter().map(|r| start_endpoint(r, |_, _| ok(b"ok"))).collect();
         let folder = folder_of(version);
         let socket = TcpListener::bind(free_address()).unwrap();
         let node = Node::inherit(free_address(), &socket, &folder, |c: &mut Value| {
@@ -50,7 +51,8 @@
             c["settings"]["rules"]["coldMs"] = 60_000.0.into();
         });
         wait_for("it is ready", || {
-            std::net::TcpStream::connect(node.console()).is_ok() && node.call("ready").starts_with("done")
+            std::net::TcpStream::connect(node.admin_address()).is_ok()
+                && node.admin_command("ready").starts_with("done")
         });
         Successor { node, records, folder }
     }
@@ -64,14 +66,16 @@
         state["servers"].as_array().unwrap().iter().find(of_uid).unwrap().clone()
     }
 
-    fn ask(&self, count: usize) {
-        (0..count).for_each(|_| assert_eq!(ask(self.node.address, &request("page", 4000)).status(), 200));
+    fn send_and_receive(&self, count: usize) {
+        (0..count).for_each(|_| {
+            assert_eq!(send_request(self.node.address, &request("page", 4000)).status(), 200)
+        });
     }
 
     /// Ends it and gives its log.
     fn log(mut self) -> String {
         self.node.terminate();
-        assert!(self.node.ended().success());
+        assert!(self.node.wait_for_exit().success());
         let _ = std::fs::remove_dir_all(&self.folder);
         self.node.log()
     }
@@ -79,10 +83,10 @@
 
 /// The server that was taken out of service stays so until it is put back.
 fn assert_disabled_until_enabled(successor: &Successor) {
-    successor.ask(40);
+    successor.send_and_receive(40);
     assert_eq!(successor.records[1].count(), 0, "s-1 is out of service");
-    assert_eq!(successor.node.call("disable-server s-1"), "done out of service already\n");
-    assert_eq!(successor.node.call("enable-server s-1"), "done in service again, cold\n");
+    assert_eq!(successor.node.admin_command("disable-server s-1"), "done out of service already\n");
+    assert_eq!(successor.node.admin_command("enable-server s-1"), "done in service again, cold\n");
 }
 
 #[test]
--- a/tests/node_large.rs
+++ b/tests/node_streaming.rs
@@ -44,7 +44,7 @@
 }
 
 fn start(addresses: &[SocketAddr]) -> Node {
-    let discovery = Discovery::start(all_up(addresses));
+    let discovery = DiscoveryStub::start(all_up(addresses));
     Node::start(discovery.address, |c| c["limits"]["memory_mb"] = 48.into())
 }
 
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_long_answer_goes_on_byte_for_byte_in_each_framing_and_before_it_is_whole() {
+fn a_long_response_is_streamed_unchanged_in_each_framing() {
     for framing in ["length", "chunks", "close"] {
         let (go_on, gate) = mpsc::channel::<()>();
         let gate = Mutex::new(gate);
@@ -128,7 +128,7 @@
                 [first, rest].concat()
             };
             assert!(body == long(LONG), "{framing}: the body changed on its way");
-            quiet_moment();
+            wait_until_connection_is_reusable();
         }
         let connections = if framing == "close" { 2 } else { 1 };
         assert_eq!(opened.load(Ordering::SeqCst), connections, "{framing}");
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_long_answer_that_breaks_off_does_not_look_whole_and_is_not_asked_for_again() {
+fn a_long_response_that_breaks_off_looks_incomplete_and_is_not_repeated() {
     let asked = Arc::new(AtomicUsize::new(0));
     for (framing, version) in [("length", "1.1"), ("chunks", "1.1"), ("chunks", "1.0")] {
         let count = asked.clone();
@@ -170,12 +170,12 @@
             || answer.contains("chunked") && !bytes.ends_with(b"0\r\n\r\n");
         assert!(told || end.is_err(), "{framing}, {version}: looks whole: {answer}");
         assert_eq!(asked.load(Ordering::SeqCst), before + 1, "{framing}, {version}");
-        assert_eq!(node.up(), 200);
+        assert_eq!(node.readiness_status(), 200);
     }
 }
 
 #[test]
-fn who_takes_nothing_of_a_long_answer_takes_no_memory_and_who_leaves_frees_the_backend() {
+fn a_client_that_stops_reading_costs_no_memory_and_frees_the_endpoint_when_it_leaves() {
     let open = Arc::new(AtomicUsize::new(0));
     let (count, body) = (open.clone(), long(LONG));
     let backend = raw_backend(move |_, mut stream| {
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn who_takes_a_long_answer_at_the_slowest_pace_allowed_keeps_it() {
+fn a_response_read_at_the_slowest_allowed_pace_is_completed() {
     let body = long(LONG);
     let backend = raw_backend(move |_, mut stream| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_body_goes_on_byte_for_byte_in_each_framing() {
+fn a_request_body_is_forwarded_unchanged_in_each_framing() {
     let got = Got::default();
     let node = start(&[taking(&got)]);
     let mut client = Client::connect(node.address);
@@ -280,33 +280,33 @@
                     [post("Transfer-Encoding: chunked\r\n").into_bytes(), in_chunks(&body, 5_000)].concat()
                 }
             };
-            assert_eq!(client.ask(&bytes).status(), 200, "{framing}, {length}");
+            assert_eq!(client.send_and_receive(&bytes).status(), 200, "{framing}, {length}");
             let (head, there) = got.lock().unwrap().pop().expect("a request");
             assert!(there == body, "{framing}, {length}: the body changed on its way");
             assert!(!head.contains("x-trailer"), "{head}");
-            quiet_moment();
+            wait_until_connection_is_reusable();
         }
     }
     // Chunks that look like heads of requests, which tell a length of their own.
     let bait = b"\r\nContent-Length: 5\r\n\r\nPOST / HTTP/1.1\r\nContent-Length: 7\r\n\r\n".repeat(20);
     for _ in 0..3 {
         let bytes = [post("Transfer-Encoding: chunked\r\n").into_bytes(), in_chunks(&bait, 300)].concat();
-        assert_eq!(client.ask(&bytes).status(), 200);
+        assert_eq!(client.send_and_receive(&bytes).status(), 200);
         assert!(got.lock().unwrap().pop().expect("a request").1 == bait);
-        quiet_moment();
+        wait_until_connection_is_reusable();
     }
     // One that waits to be told to go on, and one that is written byte by byte.
     client.send(post("Expect: 100-continue\r\nContent-Length: 4\r\n").as_bytes());
-    assert_eq!(client.answer().unwrap().status(), 100);
-    assert_eq!(client.ask(b"body").status(), 200);
+    assert_eq!(client.response().unwrap().status(), 100);
+    assert_eq!(client.send_and_receive(b"body").status(), 200);
     for byte in post("Content-Length: 4\r\n").bytes().chain(*b"body") {
         client.send(&[byte]);
     }
-    assert_eq!(client.answer().unwrap().status(), 200);
+    assert_eq!(client.response().unwrap().status(), 200);
 }
 
 #[test]
-fn a_long_body_goes_on_before_it_is_whole_and_its_time_counts_from_its_end() {
+fn a_long_request_body_is_streamed_and_its_time_counts_from_its_end() {
     let (seen, first) = mpsc::channel();
     let seen = Mutex::new(seen);
     let backend = raw_backend(move |_, mut stream| {
@@ -330,39 +330,39 @@
     // Longer than the client will wait for the answer.
     thread::sleep(Duration::from_millis(1200));
     client.send(&body[150_000..]);
-    assert_eq!(client.answer().unwrap().status(), 200);
+    assert_eq!(client.response().unwrap().status(), 200);
 }
 
 #[test]
-fn a_short_body_that_is_slow_has_its_time_from_its_end_and_one_that_stops_is_cut() {
+fn a_slow_request_body_counts_from_its_end_and_a_stalled_one_is_cut() {
     let got = Got::default();
     let mut node = start(&[taking(&got)]);
     let mut client = Client::connect(node.address);
     client.send(post("Content-Length: 4\r\n").as_bytes());
     thread::sleep(Duration::from_millis(1200));
-    assert_eq!(client.ask(b"body").status(), 200);
+    assert_eq!(client.send_and_receive(b"body").status(), 200);
     for (headers, sent) in
         [("Content-Length: 10\r\n", &b"abc"[..]), ("Transfer-Encoding: chunked\r\n", b"5\r\nab")]
     {
         client = Client::connect(node.address);
         client.send(post(headers).as_bytes());
         client.send(sent);
-        assert_eq!(client.answer().map(|m| m.status()), Some(408), "{headers}");
+        assert_eq!(client.response().map(|m| m.status()), Some(408), "{headers}");
     }
     assert_eq!(got.lock().unwrap().len(), 1);
     node.terminate();
-    assert!(node.ended().success());
+    assert!(node.wait_for_exit().success());
     assert!(node.log().contains("rejected: 1 \"the body did not come in time\""));
 }
 
 #[test]
-fn a_long_body_is_sent_on_once_and_elsewhere_only_if_none_of_it_was() {
+fn a_streamed_request_body_is_repeated_only_if_none_of_it_was_sent() {
     let got = Got::default();
     let (open, refused) = (taking(&got), free_address());
     let node = start(&[open, refused]);
     for _ in 0..8 {
         let bytes = [post("Content-Length: 300000\r\n").into_bytes(), long(300_000)].concat();
-        assert_eq!(ask(node.address, &bytes).status(), 200, "a refused connection costs nothing");
+        assert_eq!(send_request(node.address, &bytes).status(), 200, "a refused connection costs nothing");
     }
     assert_eq!(got.lock().unwrap().len(), 8);
     // One that breaks in the middle of the body: no second attempt, and no doubt that it never ran.
@@ -385,7 +385,7 @@
     let mut writer = client.stream.try_clone().unwrap();
     // It may be cut off while it still writes.
     let writing = thread::spawn(move || drop(writer.write_all(&bytes)));
-    assert_eq!(client.answer().map(|m| m.status()), Some(503));
+    assert_eq!(client.response().map(|m| m.status()), Some(503));
     writing.join().unwrap();
     assert_eq!(begun.load(Ordering::SeqCst), 1);
 }
--- a/tests/node_system_calls.rs
+++ b/tests/node_syscall_faults.rs
@@ -9,11 +9,11 @@
 fn play(node: &Node, rounds: usize) -> Vec<u16> {
     let mut statuses = Vec::new();
     for _ in 0..rounds {
-        statuses.extend(play_many(node, "page", 4000, 8, 8));
-        statuses.extend(play_many(node, "pay", 4000, 2, 2));
+        statuses.extend(send_many(node, "page", 4000, 8, 8));
+        statuses.extend(send_many(node, "pay", 4000, 2, 2));
         let mut client = Client::connect(node.address);
         for _ in 0..3 {
-            let answer = client.send(&request("page", 4000)).then(|| client.answer()).flatten();
+            let answer = client.send(&request("page", 4000)).then(|| client.response()).flatten();
             statuses.push(answer.map_or(0, |message| message.status()));
         }
     }
@@ -25,13 +25,13 @@
     assert_eq!(served, statuses.len(), "{statuses:?}");
 }
 
-fn three_backends(record: &Record) -> Discovery {
-    Discovery::start(all_up(&backends(3, record, |_, _| ok(&[b'x'; 2000]))))
+fn three_backends(record: &RequestRecord) -> DiscoveryStub {
+    DiscoveryStub::start(all_up(&start_endpoints(3, record, |_, _| ok(&[b'x'; 2000]))))
 }
 
 #[test]
-fn calls_that_are_interrupted_or_short_break_no_connection() {
-    let record = Record::default();
+fn interrupted_and_short_system_calls_break_no_connection() {
+    let record = RequestRecord::default();
     let discovery = three_backends(&record);
     let faults = SyscallFaults::new(1);
     faults.set(SyscallFault::InterruptedIo, 11);
@@ -43,23 +43,23 @@
     });
     all_served(&play(&node, 20));
     for _ in 0..20 {
-        assert_eq!(node.call("ready"), "done takes clients\n");
+        assert_eq!(node.admin_command("ready"), "done takes clients\n");
     }
     for _ in 0..20 {
         node.reload(discovery.address);
-        quiet_moment();
+        wait_until_connection_is_reusable();
     }
-    assert!(node.running(), "signals come through a socket of its own");
+    assert!(node.is_running(), "signals come through a socket of its own");
     node.terminate();
-    assert!(node.ended().success());
+    assert!(node.wait_for_exit().success());
     let log = node.log();
     assert!(!log.contains("discovery: no answer"), "{log}");
 }
 
 #[test]
-fn what_this_machine_cannot_do_for_a_moment_is_no_failure_of_a_server() {
+fn local_errors_are_no_failures_of_endpoints() {
     for seed in 1..=3 {
-        let record = Record::default();
+        let record = RequestRecord::default();
         let discovery = three_backends(&record);
         let faults = SyscallFaults::new(seed);
         let mut node = Node::start_with(discovery.address, &faults, |_| {});
@@ -68,37 +68,37 @@
         }
         all_served(&play(&node, 20));
         node.terminate();
-        assert!(node.ended().success());
+        assert!(node.wait_for_exit().success());
         let log = node.log();
         assert!(!log.contains("congested") && !log.contains("refused"), "{log}");
     }
 }
 
 #[test]
-fn accepts_that_fail_close_no_connection_that_rests() {
-    let record = Record::default();
+fn failed_accepts_close_no_idle_connection() {
+    let record = RequestRecord::default();
     let discovery = three_backends(&record);
     let faults = SyscallFaults::new(4);
     let node = Node::start_with(discovery.address, &faults, |_| {});
     let mut resting = Client::connect(node.address);
-    assert_eq!(resting.ask(&request("page", 4000)).status(), 200);
-    quiet_moment();
+    assert_eq!(resting.send_and_receive(&request("page", 4000)).status(), 200);
+    wait_until_connection_is_reusable();
     let connections = record.open_now();
     assert!(connections > 0);
     faults.set(SyscallFault::AcceptFails, 2);
     for _ in 0..40 {
         assert_eq!(
-            attempt(node.address, b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n").map(|m| m.status()),
+            try_request(node.address, b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n").map(|m| m.status()),
             Some(200)
         );
     }
     assert_eq!(record.open_now(), connections, "connections to backends are kept");
-    assert_eq!(resting.ask(&request("page", 4000)).status(), 200, "and those of clients");
+    assert_eq!(resting.send_and_receive(&request("page", 4000)).status(), 200, "and those of clients");
 }
 
 #[test]
-fn a_connection_that_breaks_on_the_way_costs_only_its_own_request() {
-    let record = Record::default();
+fn a_broken_connection_costs_only_its_own_request() {
+    let record = RequestRecord::default();
     let discovery = three_backends(&record);
     let faults = SyscallFaults::new(5);
     let mut node = Node::start_with(discovery.address, &faults, |_| {});
@@ -109,14 +109,14 @@
     assert!(statuses.contains(&200), "{statuses:?}");
     wait_for("the node serves again", || {
         std::thread::sleep(Duration::from_millis(20));
-        attempt(node.address, &request("page", 4000)).is_some_and(|m| m.status() == 200)
+        try_request(node.address, &request("page", 4000)).is_some_and(|m| m.status() == 200)
     });
-    assert!(node.running());
+    assert!(node.is_running());
 }
 
 #[test]
-fn a_process_starts_though_sockets_cannot_be_had_for_a_moment() {
-    let record = Record::default();
+fn a_process_starts_despite_a_temporary_lack_of_sockets() {
+    let record = RequestRecord::default();
     let discovery = three_backends(&record);
     for seed in 1..=6 {
         let faults = SyscallFaults::new(seed);
@@ -125,6 +125,6 @@
             c["console"] = free_address().to_string().into();
             c["peer_listen"] = free_address().to_string().into();
         });
-        assert_eq!(node.call("ready"), "done takes clients\n");
+        assert_eq!(node.admin_command("ready"), "done takes clients\n");
     }
 }
--- /dev/null
+++ b/tests/policy/connection_scarcity.rs
@@ -0,0 +1,33 @@
+//! When idle connections are closed.
+
+use crate::common::active_endpoint;
+use crate::support::one_of_many_nodes;
+use wheelpath::policy::AttemptOutcome;
+
+#[test]
+fn idle_connections_are_closed_when_connections_are_scarce() {
+    let mut node = one_of_many_nodes(20);
+    // One dead endpoint of twenty does not make connections scarce.
+    for n in 0..200 {
+        let id = node.request(0, Some(n));
+        node.wait(10.0);
+        let dead = node.endpoint_of(id) == Some(active_endpoint(1).endpoint);
+        node.end_attempt(id, if dead { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Answered });
+        node.end_attempt(id, AttemptOutcome::Answered);
+        node.wait(50.0);
+    }
+    assert!(node.idle_closed_at_ms.is_empty(), "{:?}", node.idle_closed_at_ms);
+    // Failures to connect everywhere do: idle connections are closed, also those that become idle later.
+    for n in 0..60 {
+        let id = node.request(0, Some(n));
+        node.wait(10.0);
+        node.end_attempt(
+            id,
+            if n % 2 == 0 { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Answered },
+        );
+        node.end_attempt(id, AttemptOutcome::Answered);
+        node.wait(50.0);
+    }
+    assert!(node.idle_closed_at_ms.len() >= 19, "{} of 20", node.idle_closed_at_ms.len());
+    assert!(node.logs.iter().any(|l| l.starts_with("connections are scarce")));
+}
--- /dev/null
+++ b/tests/policy/robustness.rs
@@ -0,0 +1,69 @@
+//! Bad input, and several faults at once.
+
+use crate::common::{Answer, active_endpoint, settings};
+use crate::support::idempotent_node;
+use wheelpath::policy::{
+    AttemptOutcome, Balancer, EndpointState, EndpointUpdate, Event, Settings, SettingsError, WatchUpdate,
+};
+
+#[test]
+fn non_finite_times_and_a_clock_jump_do_no_harm() {
+    let mut node = idempotent_node(4);
+    node.warm_up(50, 0, 20.0);
+    for n in 0..30 {
+        let id = node.request(0, Some(n));
+        node.wait(20.0);
+        let Some(endpoint) = node.endpoint_of(id) else { continue };
+        node.requests.get_mut(&id).expect("a known request").attempts[0].outcome =
+            Some(AttemptOutcome::Answered);
+        node.requests.get_mut(&id).expect("a known request").answer = Some(Answer::Served);
+        let elapsed_ms = [f64::NAN, f64::INFINITY, -5.0][n as usize % 3];
+        let outcome = AttemptOutcome::Answered;
+        node.feed(Event::AttemptEnded {
+            id,
+            attempt: 0,
+            endpoint,
+            outcome,
+            request_finished: true,
+            elapsed_ms,
+            load: Default::default(),
+        });
+    }
+    node.now_ms += 60_000.0;
+    node.wait(1000.0);
+    for n in 0..20 {
+        let id = node.request(0, Some(n));
+        assert!(node.endpoint_of(id).is_some(), "request {n} rejected");
+        node.wait(20.0);
+        node.end_attempt(id, AttemptOutcome::Answered);
+    }
+}
+
+#[test]
+fn flapping_endpoints_and_a_stall_together_break_no_rule() {
+    let mut node = idempotent_node(6);
+    node.warm_up(50, 0, 20.0);
+    for n in 0..60 {
+        let state = if n % 2 == 0 { EndpointState::Removed } else { EndpointState::Active };
+        node.apply_list(WatchUpdate::Delta, vec![EndpointUpdate { state, ..active_endpoint(1 + n % 3) }]);
+        let id = node.request(0, Some(n));
+        if n % 7 == 0 {
+            node.wait(900.0);
+        }
+        node.wait(10.0);
+        node.end_attempt(id, AttemptOutcome::Answered);
+    }
+    let id = node.request(0, Some(3));
+    assert!(node.endpoint_of(id).is_some());
+}
+
+#[test]
+fn unusable_settings_are_a_typed_error() {
+    let none = Settings { classes: vec![], ..settings() };
+    assert_eq!(Balancer::new(none, 1).err(), Some(SettingsError::NoClass));
+    let odd = Settings { slow_start_ms: f64::NAN, ..settings() };
+    assert!(matches!(
+        Balancer::new(odd, 1).err(),
+        Some(SettingsError::Range { field: "rules.coldMs", .. })
+    ));
+}
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,22 +1,22 @@
-//! Random event sequences; the world in `common` asserts the four rules at every action.
+//! Random event sequences; the node in `common` asserts the four rules at every action.
 mod common;
 
-use common::{World, settings, up};
+use common::{TestNode, active_endpoint, settings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use wheelpath::policy::*;
 
 #[derive(Debug, Clone)]
 enum Step {
-    Ask(usize, Option<u64>, f64),
-    End(usize, AttemptOutcome),
-    Leave(usize),
+    Request(usize, Option<u64>, f64),
+    EndAttempt(usize, AttemptOutcome),
+    DisconnectClient(usize),
     Wait(f64),
-    List(WatchUpdate, Vec<(u64, EndpointState, bool)>),
-    Call(usize, bool),
-    Begin(usize),
-    Whole(usize),
-    Stray(u64),
+    ApplyList(WatchUpdate, Vec<(u64, EndpointState, bool)>),
+    SetDisabled(usize, bool),
+    StartResponse(usize),
+    CompleteBody(usize),
+    UnknownIds(u64),
 }
 
 fn outcome() -> impl Strategy<Value = AttemptOutcome> {
@@ -41,88 +41,88 @@
         1 => Just(WatchUpdate::Failure)
     ];
     prop_oneof![
-        8 => (0_usize..7, proptest::option::of(0_u64..20), 0.0..1200.0).prop_map(|(c, k, d)| Step::Ask(c, k, d)),
-        8 => (any::<usize>(), outcome()).prop_map(|(n, o)| Step::End(n, o)),
-        1 => any::<usize>().prop_map(Step::Leave),
+        8 => (0_usize..7, proptest::option::of(0_u64..20), 0.0..1200.0).prop_map(|(c, k, d)| Step::Request(c, k, d)),
+        8 => (any::<usize>(), outcome()).prop_map(|(n, o)| Step::EndAttempt(n, o)),
+        1 => any::<usize>().prop_map(Step::DisconnectClient),
         3 => (0.0..400.0).prop_map(Step::Wait),
         1 => (kind, proptest::collection::vec((1_u64..12, state, any::<bool>()), 0..8))
-            .prop_map(|(k, e)| Step::List(k, e)),
-        1 => (any::<usize>(), any::<bool>()).prop_map(|(n, out)| Step::Call(n, out)),
-        1 => any::<usize>().prop_map(Step::Begin),
-        1 => any::<usize>().prop_map(Step::Whole),
-        1 => any::<u64>().prop_map(Step::Stray),
+            .prop_map(|(k, e)| Step::ApplyList(k, e)),
+        1 => (any::<usize>(), any::<bool>()).prop_map(|(n, out)| Step::SetDisabled(n, out)),
+        1 => any::<usize>().prop_map(Step::StartResponse),
+        1 => any::<usize>().prop_map(Step::CompleteBody),
+        1 => any::<u64>().prop_map(Step::UnknownIds),
     ]
 }
 
 #[expect(clippy::too_many_lines, reason = "one short arm for each kind of step")]
 fn play(s: Settings, seed: u64, steps: &[Step]) -> Vec<Action> {
-    let mut w = World::with_backends(s, seed, 6);
+    let mut node = TestNode::with_endpoints(s, seed, 6);
     for step in steps {
-        let open: Vec<RequestId> = w
-            .asked
+        let open: Vec<RequestId> = node
+            .requests
             .iter()
             .filter(|(_, a)| a.attempts.iter().any(|t| t.outcome.is_none()))
             .map(|(i, _)| *i)
             .collect();
         let nth = |n: usize| open.get(n % open.len().max(1)).copied();
         match step {
-            Step::Ask(c, k, d) => {
-                w.ask_with(*c, *k, *d);
+            Step::Request(c, k, d) => {
+                node.request_with_deadline(*c, *k, *d);
             }
-            Step::End(n, o) => {
+            Step::EndAttempt(n, o) => {
                 if let Some(id) = nth(*n) {
-                    w.end(id, *o);
+                    node.end_attempt(id, *o);
                 }
             }
-            Step::Leave(n) => {
+            Step::DisconnectClient(n) => {
                 if let Some(id) = nth(*n) {
-                    w.left(id);
+                    node.disconnect_client(id);
                 }
             }
-            Step::Wait(ms) => w.wait(*ms),
-            Step::List(WatchUpdate::Failure, _) => {
-                w.feed(Event::EndpointsChanged { update: WatchUpdate::Failure, endpoints: vec![] })
+            Step::Wait(ms) => node.wait(*ms),
+            Step::ApplyList(WatchUpdate::Failure, _) => {
+                node.feed(Event::EndpointsChanged { update: WatchUpdate::Failure, endpoints: vec![] })
             }
-            Step::List(kind, endpoints) => {
-                let now = w.now;
+            Step::ApplyList(kind, endpoints) => {
+                let now = node.now_ms;
                 let endpoints = (endpoints.iter())
                     .map(|(n, state, fresh)| EndpointUpdate {
                         state: *state,
                         started_at_ms: if *fresh { now } else { 0.0 },
-                        ..up(*n)
+                        ..active_endpoint(*n)
                     })
                     .collect();
-                w.list(*kind, endpoints);
+                node.apply_list(*kind, endpoints);
             }
-            Step::Call(n, out) => {
-                let listed: Vec<_> = w.list.keys().copied().collect();
+            Step::SetDisabled(n, out) => {
+                let listed: Vec<_> = node.listed.keys().copied().collect();
                 if let Some(endpoint) = listed.get(n % listed.len().max(1)) {
-                    w.call(*endpoint, *out);
+                    node.set_disabled(*endpoint, *out);
                 }
             }
-            Step::Begin(n) => {
+            Step::StartResponse(n) => {
                 if let Some(id) = nth(*n) {
-                    w.begin(id);
+                    node.start_response(id);
                 }
             }
-            Step::Whole(n) => {
-                let owed: Vec<_> =
-                    w.asked.iter().filter(|(_, a)| a.answer.is_none()).map(|(id, _)| *id).collect();
-                if let Some(id) = owed.get(n % owed.len().max(1)) {
-                    w.whole(*id);
+            Step::CompleteBody(n) => {
+                let unanswered: Vec<_> =
+                    node.requests.iter().filter(|(_, a)| a.answer.is_none()).map(|(id, _)| *id).collect();
+                if let Some(id) = unanswered.get(n % unanswered.len().max(1)) {
+                    node.complete_body(*id);
                 }
             }
-            Step::Stray(n) => {
+            Step::UnknownIds(n) => {
                 // Events for what this node does not know are ignored.
-                w.feed(Event::Timer(n.wrapping_add(100)));
-                w.feed(Event::ClientDisconnected(RequestId(n | 1 << 40)));
-                w.feed(Event::ProbeEnded {
+                node.feed(Event::Timer(n.wrapping_add(100)));
+                node.feed(Event::ClientDisconnected(RequestId(n | 1 << 40)));
+                node.feed(Event::ProbeEnded {
                     endpoint: EndpointId(*n),
                     outcome: AttemptOutcome::Answered,
                     elapsed_ms: 1.0,
                     load: LoadReport::default(),
                 });
-                w.feed(Event::AttemptEnded {
+                node.feed(Event::AttemptEnded {
                     id: RequestId(n | 1 << 40),
                     attempt: 0,
                     endpoint: EndpointId(*n),
@@ -134,11 +134,11 @@
             }
         }
     }
-    w.wait(3000.0);
-    for (id, a) in &w.asked {
+    node.wait(3000.0);
+    for (id, a) in &node.requests {
         assert!(a.answer.is_some(), "rule 1: {id:?} was never answered");
     }
-    w.trace
+    node.trace
 }
 
 fn runner() -> TestRunner {
--- a/tests/unit/clock.rs
+++ b/tests/unit/clock.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn with_no_step_all_moments_up_to_now_are_found() {
+fn without_a_step_all_past_moments_are_converted() {
     let mut history = WallHistory::default();
     run(&mut history, 1_000.0, 9_000.0, HOUR);
     assert_eq!(history.find(HOUR + 4_250.0), Some(4_250.0));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_moment_is_found_where_the_clock_showed_it_before_and_after_a_step() {
+fn a_moment_is_converted_by_the_wall_clock_before_and_after_a_step() {
     for step in [HOUR, 3_000.0, -3_000.0, -HOUR] {
         let mut history = WallHistory::default();
         run(&mut history, 0.0, 10_000.0, 0.0);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_a_step_forward_passed_over_was_never_shown() {
+fn a_moment_skipped_by_a_step_forward_was_never_shown() {
     let mut history = WallHistory::default();
     run(&mut history, 0.0, 10_000.0, 0.0);
     run(&mut history, 10_500.0, 20_000.0, HOUR);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn drift_is_no_step_and_many_steps_are_bounded() {
+fn drift_is_no_step_and_the_number_of_steps_is_bounded() {
     let mut history = WallHistory::default();
     for n in 0..1_000 {
         let now = f64::from(n) * 500.0;
--- a/tests/unit/invariants.rs
+++ b/tests/unit/invariants.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn nothing_begins_for_a_request_that_is_over_or_at_a_server_that_is_withdrawn() {
+fn no_attempt_begins_for_a_finished_request_or_at_a_withdrawn_endpoint() {
     let guard = guard(Idempotency::Idempotent);
     assert_eq!(guard.may_send(200.0, &facts(&[]), &HERE), Ok(()));
     let over = RequestFacts { awaits_answer: false, ..facts(&[]) };
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn attempts_are_bounded_and_stand_alone_where_copies_are_not_allowed() {
+fn attempts_are_bounded_and_alone_without_hedging() {
     let ended = [attempt(Some(AttemptOutcome::Rejected)); 3];
     let full = guard(Idempotency::Idempotent);
     assert_eq!(full.may_send(200.0, &facts(&ended[..2]), &HERE), Ok(()));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_refusal_promises_no_harm() {
+fn a_rejection_promises_that_a_retry_does_no_harm() {
     let refuse = |idempotency, outcome| guard(idempotency).may_reject(&facts(&[attempt(outcome)]));
     for idempotency in [
         Idempotency::NotIdempotent,
--- a/tests/unit/peers.rs
+++ b/tests/unit/peers.rs
@@ -3,7 +3,7 @@
 
 /// The decisions send no messages yet, so the way out is tried here rather than on the whole node.
 #[tokio::test]
-async fn messages_go_both_ways_and_strangers_are_not_heard() -> std::io::Result<()> {
+async fn messages_go_both_ways_and_unknown_senders_are_ignored() -> std::io::Result<()> {
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
     let alone = |own| PeerAddresses { nodes: Vec::new(), broadcast: None, own };
     let mut a = PeerSocket::bind(any, false, alone(0))?;
--- a/tests/unit/snapshot_store.rs
+++ b/tests/unit/snapshot_store.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_state_is_read_as_it_was_written_and_half_of_one_is_none() {
+fn a_record_is_read_as_written_and_half_of_one_is_an_error() {
     let process = ProcessId { pid: 7, started: 12 };
     let endpoints = vec![
         EndpointRecord::new(&snapshot(u64::MAX, Some(1.5), None), 100.0),
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_a_process_has_learned_holds_for_spans_whatever_the_clock_of_the_next() {
+fn learned_times_are_restored_as_spans_on_the_clock_of_the_next_process() {
     let state = EndpointRecord::new(&snapshot(1, Some(4_000.0), Some(5_600.0)), 5_000.0);
     let next = state.snapshot(9e9);
     assert_eq!(next.started_at_ms, Some(9e9 - 1_000.0));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_state_of_version_1_is_taken_over_without_its_times() {
+fn a_file_of_version_1_is_read_without_its_times() {
     let text = r#"{"version":1,"pid":5,"calls":2,"out":["00000000000000ff"],"list":3,
         "backends":[{"id":"0000000000000001","cold_since_ms":1.0,"prat_ms":null,"cap":2.0,"served":1.0}]}"#;
     let records = Version1::parse(text).unwrap_or_else(|| unreachable!("it is whole"));
