--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -18,7 +18,32 @@
     Failure,
 }
 
+/// Where the fault of an attempt lay that brought no answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FaultSource {
+    /// This node: it cancelled the attempt, or could not send it.
+    Node,
+    /// The connection: it was not made, or it broke.
+    Connection,
+    /// The endpoint: what it responded, or that it did not respond.
+    Endpoint,
+}
+
 /// How an attempt or a probe ended.
+///
+/// All that follows from the way an attempt ended is asked of this type and worked out nowhere else: whether
+/// the request may have run, where the fault lay, and what the end says of the endpoint.
+///
+/// | outcome | may have run | fault | counts as failure |
+/// | --- | --- | --- | --- |
+/// | `Answered` | yes | none | no |
+/// | `ErrorResponse` | yes | endpoint | no |
+/// | `Rejected` | no | endpoint | no |
+/// | `TimedOut` | yes | endpoint | yes |
+/// | `ConnectFailed` | no | connection | yes |
+/// | `ConnectionReset` | yes | connection | yes |
+/// | `Cancelled` | yes | node | no |
+/// | `NotSent` | no | node | no |
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// It was answered.
@@ -67,9 +92,39 @@
         )
     }
 
+    /// Where the fault lay; none for an answer.
+    pub fn fault_source(self) -> Option<FaultSource> {
+        match self {
+            AttemptOutcome::Answered => None,
+            AttemptOutcome::ErrorResponse | AttemptOutcome::Rejected | AttemptOutcome::TimedOut => {
+                Some(FaultSource::Endpoint)
+            }
+            AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset => {
+                Some(FaultSource::Connection)
+            }
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => Some(FaultSource::Node),
+        }
+    }
+
     /// Whether the node itself ended or withheld the attempt, which says nothing of the endpoint.
     pub(super) fn was_ended_by_node(self) -> bool {
-        matches!(self, AttemptOutcome::Cancelled | AttemptOutcome::NotSent)
+        self.fault_source() == Some(FaultSource::Node)
+    }
+
+    /// Whether the connection failed, which no class of requests can be blamed for.
+    pub(super) fn is_connection_failure(self) -> bool {
+        self.fault_source() == Some(FaultSource::Connection)
+    }
+
+    /// Whether the time of the attempt is a lower bound of the time of an answer.
+    pub(super) fn bounds_answer_time(self) -> bool {
+        matches!(self, AttemptOutcome::Answered | AttemptOutcome::TimedOut)
+    }
+
+    /// Whether the end concerns its endpoint alone and says nothing of the load of the fleet: the endpoint
+    /// is full or cannot be reached, and the request goes elsewhere.
+    pub(super) fn concerns_endpoint_alone(self) -> bool {
+        self == AttemptOutcome::Rejected || self.is_connection_failure()
     }
 }
 
--- a/src/policy/load_report.rs
+++ b/src/policy/load_report.rs
@@ -69,7 +69,7 @@
     ) -> Option<f64> {
         match outcome {
             AttemptOutcome::Answered => report.estimated_utilization(latency_objective_ms),
-            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => None,
+            _ if outcome.was_ended_by_node() => None,
             _ => Some(1.0).filter(|_| self.mean > 0.0),
         }
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -62,7 +62,7 @@
 pub use balancer::Balancer;
 pub use decision_log::{DecisionLog, RejectionCounts};
 pub use endpoint::{EndpointId, EndpointSnapshot, EndpointState, EndpointUpdate, Location};
-pub use event::{AttemptOutcome, Event, WatchUpdate};
+pub use event::{AttemptOutcome, Event, FaultSource, WatchUpdate};
 pub use load_report::LoadReport;
 pub use request::{Request, RequestId};
 pub use settings::{
--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -168,9 +168,8 @@
     /// Timeouts count as answers that took at least so long: without them the short timeout n, which is
     /// estimated from these times, would become ever shorter.
     fn learn_answer_time(&mut self, ended: &EndedAttempt, has_short_deadline: bool) {
-        let tells_time = matches!(ended.outcome, AttemptOutcome::Answered | AttemptOutcome::TimedOut);
         if let Some(class) = self.classes.get_mut(ended.class)
-            && tells_time
+            && ended.outcome.bounds_answer_time()
             && !has_short_deadline
         {
             class.record_answer(ended.elapsed_ms);
@@ -180,12 +179,10 @@
     /// Records whether the class was served at the endpoint. True if this is a failure that the class has
     /// there while others are served, which says nothing of the endpoint.
     fn record_class_outcome(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt) -> bool {
-        // Connections belong to no class.
-        let is_connection_failure =
-            matches!(ended.outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset);
-        let Some(class) = self.classes.get_mut(ended.class).filter(|_| !is_connection_failure) else {
+        if ended.outcome.is_connection_failure() {
             return false;
-        };
+        }
+        let Some(class) = self.classes.get_mut(ended.class) else { return false };
         let failed = f64::from(u8::from(!ended.in_objective));
         class.record_failure(failed);
         let failures = &mut self.endpoints[index].class_failures;
@@ -212,12 +209,7 @@
     /// whole fleet suffers is left to admission.
     fn learn_overload(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt, overload: f64) {
         let endpoint = &mut self.endpoints[index];
-        // An endpoint that is full or cannot be reached is a matter of its own; the request goes elsewhere.
-        let concerns_endpoint_alone = matches!(
-            ended.outcome,
-            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset
-        );
-        if !concerns_endpoint_alone && !endpoint.failures.is_congested() {
+        if !ended.outcome.concerns_endpoint_alone() && !endpoint.failures.is_congested() {
             self.admission.record_outcome(ended.weight, overload);
         }
         if ended.outcome == AttemptOutcome::ConnectionReset {
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -1,4 +1,4 @@
-//! Cold backends under the sum of what all nodes of a fleet send: many balancers, one list, seeded arrivals. A backend
+//! Cold endpoints under the sum of what all nodes of a fleet send: many balancers, one list, seeded arrivals. An endpoint
 //! answers at once up to the rate that it can do, late beyond, and what is counted is what the nodes send.
 mod common;
 
@@ -8,10 +8,10 @@
 use wheelpath::policy::Balancer;
 use wheelpath::policy::*;
 
-/// How long an answer takes, and one beyond what its backend can do: past the aim.
+/// How long an answer takes, and one beyond what its endpoint can do: past the aim.
 const ANSWER_MS: f64 = 60.0;
 const LATE_MS: f64 = 800.0;
-/// When the backend that is watched starts anew.
+/// When the endpoint that is watched starts anew.
 const START: f64 = 12_000.0;
 
 /// A fleet and what happens to it.
@@ -21,21 +21,21 @@
     /// Nodes that the settings tell of.
     told_nodes: u32,
     warm: u64,
-    /// Offered work by what all backends can do together.
+    /// Offered work by what all endpoints can do together.
     load: f64,
     /// When, after the start of the cold one, others leave, and how many.
     leave: Option<(f64, u64)>,
-    /// Part of the requests that are for one key whose candidate is the cold backend.
+    /// Part of the requests that are for one key whose candidate is the cold endpoint.
     hot: f64,
     /// Requests offered in a burst: from when, for how long, by which factor.
     burst: Option<(f64, f64, f64)>,
-    /// For how long before its start the cold backend is away, and how late nodes hear of it at the most.
+    /// For how long before its start the cold endpoint is away, and how late nodes hear of it at the most.
     away: Option<(f64, f64)>,
-    /// All backends start when the cold one does, and nobody has asked for anything before.
+    /// All endpoints start when the cold one does, and nobody has asked for anything before.
     opening: bool,
     multiple: f64,
     overload_window_ms: f64,
-    /// What a warm backend can do, in requests a second.
+    /// What a warm endpoint can do, in requests a second.
     cap: f64,
 }
 
@@ -54,13 +54,13 @@
     cap: 12.0,
 };
 
-/// Hundreds of nodes, before many more backends than a few have.
+/// Hundreds of nodes, before many more endpoints than a few have.
 const LARGE: Fleet = Fleet { nodes: 300, told_nodes: 300, warm: 30, ..FLEET };
 
 struct Seen {
     /// The most that was sent in one window beyond what is allowed and what is put down to chance.
     over: f64,
-    /// What the cold backend got in the last two seconds of its cold time.
+    /// What the cold endpoint got in the last two seconds of its cold time.
     late: f64,
     /// What a warm one got then.
     warm: f64,
@@ -93,7 +93,7 @@
     }
 }
 
-/// What the settings allow a cold backend of that age in one window, in requests of mean work.
+/// What the settings allow a cold endpoint of that age in one window, in requests of mean work.
 fn allowed(s: &Settings, cap: f64, now: f64) -> f64 {
     let age = now - START;
     let part = s.slow_start_initial_capacity
@@ -145,7 +145,7 @@
             push(&mut due, START + at, n, What::List(1));
         }
     }
-    // A key that the cold backend is the first candidate of, found by what a node of its own does.
+    // A key that the cold endpoint is the first candidate of, found by what a node of its own does.
     let hot_key = (0..)
         .find(|key| {
             let mut b = Balancer::new(s.clone(), 1).unwrap();
--- a/tests/node_admin.rs
+++ b/tests/node_admin.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A node with a console and backends that say "ok".
+/// A node with a console and endpoints that say "ok".
 fn start(backends_up: usize) -> (Node, RequestRecord) {
     let record = RequestRecord::default();
     let discovery = DiscoveryStub::start(all_up(&start_endpoints(backends_up, &record, |_, _| ok(b"ok"))));
@@ -144,7 +144,7 @@
     assert_eq!(client.response().unwrap().body, b"late");
 }
 
-/// A node and its backends, named s-0, s-1, ..., each with a record of its own.
+/// A node and its endpoints, named s-0, s-1, ..., each with a record of its own.
 struct Site {
     node: Node,
     records: Vec<RequestRecord>,
--- a/tests/node_clients.rs
+++ b/tests/node_clients.rs
@@ -334,7 +334,7 @@
             let idlers = Idlers::fill(&node);
             // More find no place: that is the clients' part of the lower limit.
             wait_for("idle clients hold the places", || node.descriptors() >= few + 6);
-            // Discovery comes back, and one of its backends drains.
+            // Discovery comes back, and one of its endpoints drains.
             let mut targets = all_up(&addresses);
             targets[0] = target("s-0", addresses[0], "draining");
             let discovery = DiscoveryStub::start_at(place, targets.clone());
--- a/tests/node_discovery_faults.rs
+++ b/tests/node_discovery_faults.rs
@@ -27,7 +27,7 @@
     wait_for("the news arrived", || node.readiness_status() == 503);
 }
 
-/// A node whose watch and the `misses` calls after it get no answer, while a backend begins to drain: the moment at
+/// A node whose watch and the `misses` calls after it get no answer, while an endpoint begins to drain: the moment at
 /// which the news counts as told, `counts` after the watch began and its wait, by the pages, must find it known.
 fn silence_is_overcome(mode: &str, misses: u32, counts: impl Fn(Duration) -> Duration) {
     let (leaving, staying) = (RequestRecord::default(), RequestRecord::default());
@@ -60,7 +60,7 @@
     silence_is_overcome("on_request", 1, |wait| wait + Duration::from_secs(2));
 }
 
-/// A node of many that polls a discovery with two backends, the first of which is about to leave.
+/// A node of many that polls a discovery with two endpoints, the first of which is about to leave.
 struct PollingSite {
     discovery: DiscoveryStub,
     /// The list in which the first one drains.
--- a/tests/node_endpoint_faults.rs
+++ b/tests/node_endpoint_faults.rs
@@ -102,7 +102,7 @@
     let (mut bids, mut pages) = (Vec::new(), Vec::new());
     for _ in 0..60 {
         bids.extend(send_many(&node, "bid", 900, 4, 4));
-        // So many that the backends are no failing ones.
+        // So many that the endpoints are no failing ones.
         pages.extend(send_many(&node, "page", 4000, 24, 4));
     }
     assert!(served(&bids) >= 170, "{} of 240 bids", served(&bids));
--- a/tests/node_handover.rs
+++ b/tests/node_handover.rs
@@ -92,7 +92,7 @@
     assert!(log.contains(not_listening), "a Unix socket: {log}");
 }
 
-/// Three backends with a record each, and a discovery that lists them.
+/// Three endpoints with a record each, and a discovery that lists them.
 fn three_backends() -> (Vec<RequestRecord>, DiscoveryStub) {
     let records: Vec<RequestRecord> = (0..3).map(|_| RequestRecord::default()).collect();
     let addresses: Vec<_> = records.iter().map(|r| start_endpoint(r, |_, _| ok(b"ok"))).collect();
--- a/tests/node_hostile_clients.rs
+++ b/tests/node_hostile_clients.rs
@@ -1,5 +1,5 @@
 //! Clients that do not behave, while a usual one is served: each gets an error or a close soon, none reaches a
-//! backend, and none takes what others need.
+//! endpoint, and none takes what others need.
 mod node;
 
 use node::*;
@@ -141,7 +141,7 @@
         assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200, "round {round}");
         assert!(node.descriptors() <= 256, "{} descriptors", node.descriptors());
         wait_until_connection_is_reusable();
-        // A connection to a backend is dearer than a stranger's: none is made anew for these.
+        // A connection to an endpoint is dearer than a stranger's: none is made anew for these.
         assert!(record.opened.load(Ordering::SeqCst) <= 4, "{:?}", record.opened);
     }
     strangers.iter_mut().for_each(ends);
--- a/tests/node_leaks.rs
+++ b/tests/node_leaks.rs
@@ -1,4 +1,4 @@
-//! Backends and clients that are ever new: nothing of those that have gone may stay.
+//! Endpoints and clients that are ever new: nothing of those that have gone may stay.
 mod node;
 
 use node::*;
--- a/tests/node_malformed_responses.rs
+++ b/tests/node_malformed_responses.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// Each way to spoil an answer; the connection stays open.
-fn spoilt() -> Vec<(&'static str, Vec<u8>)> {
+fn malformed() -> Vec<(&'static str, Vec<u8>)> {
     let whole = |head: &str| format!("HTTP/1.1 {head}\r\n\r\nbody").into_bytes();
     vec![
         ("noise", (0..=255).cycle().take(600).collect()),
@@ -27,15 +27,15 @@
 
 #[test]
 fn a_malformed_response_is_a_failed_attempt_that_may_have_run() {
-    for (kind, bytes) in spoilt() {
+    for (kind, bytes) in malformed() {
         let record = RequestRecord::default();
-        // The first answer to each request is spoilt, the second is not.
+        // The first answer to each request is malformed, the second is not.
         let addresses = start_endpoints(4, &record, move |n, _| {
             if n % 2 == 0 { ScriptedReply::Send(bytes.clone()) } else { ok(b"good") }
         });
         let discovery = DiscoveryStub::start(all_up(&addresses));
         let mut node = Node::start(discovery.address, |_| {});
-        // Long after the time that a spoilt answer is seen in, long before any deadline.
+        // Long after the time that a malformed answer is seen in, long before any deadline.
         let soon = Duration::from_millis(1200);
         for class in ["page", "pay"] {
             let (before, begun) = (record.count(), Instant::now());
@@ -51,7 +51,7 @@
         assert!(node.memory_kb() < 48 * 1024, "{kind}: {} KB", node.memory_kb());
         node.terminate();
         assert!(node.wait_for_exit().success());
-        assert!(!node.log().contains("congested"), "{kind}: backends were blamed");
+        assert!(!node.log().contains("congested"), "{kind}: endpoints were blamed");
     }
 }
 
@@ -70,7 +70,7 @@
     let opened = record.opened.load(Ordering::SeqCst);
     wait_until_connection_is_reusable();
     assert_eq!(send_request(node.address, &request("bid", 900)).status(), 502);
-    wait_for("the spoilt connection closes", || record.closed.load(Ordering::SeqCst) >= 1);
+    wait_for("the malformed connection closes", || record.closed.load(Ordering::SeqCst) >= 1);
     assert_eq!(record.closed.load(Ordering::SeqCst), 1);
     assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200);
     assert_eq!(record.opened.load(Ordering::SeqCst), opened, "a new connection");
--- a/tests/node_races.rs
+++ b/tests/node_races.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// A node before `count` backends that act by `script`.
+/// A node before `count` endpoints that act by `script`.
 fn start(
     count: usize,
     script: impl Fn(usize, &Message) -> ScriptedReply + Send + Sync + 'static,
@@ -181,7 +181,7 @@
     let mut client = Client::connect(node.address);
     assert_eq!(client.send_and_receive(&request("bid", 900)).status(), 200);
     node.while_stopped(|| {
-        wait_for("the backend has closed it", || record.closed.load(SeqCst) == 1);
+        wait_for("the endpoint has closed it", || record.closed.load(SeqCst) == 1);
         assert!(client.send(&request("bid", 900)));
     });
     assert_eq!(client.response().map(|m| m.status()), Some(200));
@@ -269,7 +269,7 @@
 #[test]
 fn a_repeat_that_connects_after_the_deduplication_window_is_not_sent() {
     const REMEMBERED: Duration = Duration::from_millis(400);
-    // One backend runs the request and breaks; the connection to the other comes up late.
+    // One endpoint runs the request and breaks; the connection to the other comes up late.
     let (listener, late) = listener_with_backlog_of_one();
     let filler = Client::connect(late);
     let record = RequestRecord::default();
--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -30,7 +30,7 @@
     assert_eq!(seen[0].header("x-trace-id"), Some("9b1f03aa5c7e2d41"));
     assert_eq!(seen[0].header("idempotency-key"), Some("5c0f"));
     let wait: u64 = seen[0].header("x-expires-in-ms").unwrap().parse().unwrap();
-    assert!((1..2000).contains(&wait), "the backend is told to wait {wait} ms");
+    assert!((1..2000).contains(&wait), "the endpoint is told to wait {wait} ms");
     assert_eq!(record.open_now(), 1, "one connection serves one request after the other");
 }
 
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_stale_connection_is_not_used() {
-    // The backend closes after each answer without saying so.
+    // The endpoint closes after each answer without saying so.
     let record = RequestRecord::default();
     let addresses =
         start_endpoints(1, &record, |_, _| ScriptedReply::SendAndCloseLater(reply("200 OK", "", b"bye")));
@@ -150,7 +150,7 @@
     let mut client = Client::connect(node.address);
     for n in 1..=5 {
         assert_eq!(client.send_and_receive(&request("bid", 900)).status(), 200);
-        wait_for("the backend closes", || record.closed.load(SeqCst) == n);
+        wait_for("the endpoint closes", || record.closed.load(SeqCst) == n);
         // The close is in the system's hands by now, not yet at the node.
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -268,7 +268,7 @@
 
 #[test]
 fn idle_connections_are_used_only_up_to_the_age_at_which_they_prove_good() {
-    // Backends that drop what has been idle for a while, and say so only by a reset under the next request.
+    // Endpoints that drop what has been idle for a while, and say so only by a reset under the next request.
     const IDLE: Duration = Duration::from_millis(100);
     let record = RequestRecord::default();
     let (opened, last) = (record.opened.clone(), Mutex::new((0, Instant::now())));
--- a/tests/node_streaming.rs
+++ b/tests/node_streaming.rs
@@ -18,7 +18,7 @@
     (0..length).map(|n| (n % 251) as u8).collect()
 }
 
-/// A backend that hands each connection to `serve`, with its number.
+/// An endpoint that hands each connection to `serve`, with its number.
 fn raw_backend(serve: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind(loopback(0)).unwrap();
     let address = listener.local_addr().unwrap();
@@ -97,7 +97,7 @@
         };
         let opened = Arc::new(AtomicUsize::new(0));
         let count = opened.clone();
-        let backend = raw_backend(move |_, mut stream| {
+        let endpoint = raw_backend(move |_, mut stream| {
             count.fetch_add(1, Ordering::SeqCst);
             let mut reader = BufReader::new(stream.try_clone().unwrap());
             while head(&mut reader).is_some() {
@@ -112,7 +112,7 @@
                 }
             }
         });
-        let node = start(&[backend]);
+        let node = start(&[endpoint]);
         for _ in 0..2 {
             let (mut client, head) = ask_page(&node);
             assert!(head.starts_with("http/1.1 200"), "{framing}: {head}");
@@ -140,7 +140,7 @@
     let asked = Arc::new(AtomicUsize::new(0));
     for (framing, version) in [("length", "1.1"), ("chunks", "1.1"), ("chunks", "1.0")] {
         let count = asked.clone();
-        let backend = raw_backend(move |_, mut stream| {
+        let endpoint = raw_backend(move |_, mut stream| {
             let mut reader = BufReader::new(stream.try_clone().unwrap());
             if head(&mut reader).is_none() {
                 return;
@@ -155,7 +155,7 @@
             stream.write_all(&bytes).unwrap();
             // Closed in the middle.
         });
-        let node = start(&[backend]);
+        let node = start(&[endpoint]);
         let before = asked.load(Ordering::SeqCst);
         let mut client = TcpStream::connect(node.address).unwrap();
         client.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -178,7 +178,7 @@
 fn a_client_that_stops_reading_costs_no_memory_and_frees_the_endpoint_when_it_leaves() {
     let open = Arc::new(AtomicUsize::new(0));
     let (count, body) = (open.clone(), long(LONG));
-    let backend = raw_backend(move |_, mut stream| {
+    let endpoint = raw_backend(move |_, mut stream| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         if head(&mut reader).is_some() {
             count.fetch_add(1, Ordering::SeqCst);
@@ -188,19 +188,19 @@
             count.fetch_sub(1, Ordering::SeqCst);
         }
     });
-    let node = start(&[backend]);
+    let node = start(&[endpoint]);
     let clients: Vec<_> = (0..30).map(|_| ask_page(&node)).collect();
     wait_for("all answers have begun", || open.load(Ordering::SeqCst) == 30);
     assert!(node.memory_kb() < 24 * 1024, "{} KB", node.memory_kb());
     drop(clients);
-    wait_for("the backend's connections end", || open.load(Ordering::SeqCst) == 0);
+    wait_for("the endpoint's connections end", || open.load(Ordering::SeqCst) == 0);
     wait_for("and their descriptors", || node.descriptors() < 24);
 }
 
 #[test]
 fn a_response_read_at_the_slowest_allowed_pace_is_completed() {
     let body = long(LONG);
-    let backend = raw_backend(move |_, mut stream| {
+    let endpoint = raw_backend(move |_, mut stream| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         if head(&mut reader).is_some() {
             let _ =
@@ -208,7 +208,7 @@
             let _ = stream.write_all(&body);
         }
     });
-    let node = start(&[backend]);
+    let node = start(&[endpoint]);
     // A client that the system, too, reads little ahead for: 64 kB a second, for longer than one that takes
     // nothing at all is left alone.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
@@ -229,10 +229,10 @@
     assert!([taken, rest].concat() == long(LONG), "the body changed on its way");
 }
 
-/// What a backend got: heads and bodies.
+/// What an endpoint got: heads and bodies.
 type Got = Arc<Mutex<Vec<(String, Vec<u8>)>>>;
 
-/// A backend that takes a body in either framing and answers "ok".
+/// An endpoint that takes a body in either framing and answers "ok".
 fn taking(got: &Got) -> SocketAddr {
     let got = got.clone();
     raw_backend(move |_, mut stream| {
@@ -309,7 +309,7 @@
 fn a_long_request_body_is_streamed_and_its_time_counts_from_its_end() {
     let (seen, first) = mpsc::channel();
     let seen = Mutex::new(seen);
-    let backend = raw_backend(move |_, mut stream| {
+    let endpoint = raw_backend(move |_, mut stream| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         if head(&mut reader).is_none() {
             return;
@@ -321,7 +321,7 @@
         assert!(body == long(300_000));
         stream.write_all(&reply("200 OK", "", b"ok")).unwrap();
     });
-    let node = start(&[backend]);
+    let node = start(&[endpoint]);
     let mut client = Client::connect(node.address);
     client.send(post("Content-Length: 300000\r\n").as_bytes());
     let body = long(300_000);
--- a/tests/node_syscall_faults.rs
+++ b/tests/node_syscall_faults.rs
@@ -92,7 +92,7 @@
             Some(200)
         );
     }
-    assert_eq!(record.open_now(), connections, "connections to backends are kept");
+    assert_eq!(record.open_now(), connections, "connections to endpoints are kept");
     assert_eq!(resting.send_and_receive(&request("page", 4000)).status(), 200, "and those of clients");
 }
 
--- a/tests/node_upstream_connections.rs
+++ b/tests/node_upstream_connections.rs
@@ -23,7 +23,7 @@
     let (first, _) = listener.accept().unwrap();
     drop((first, filler));
     // The node closes it without a word.
-    assert_eq!(accept_and_read_to_end(&listener), "", "sent to a draining backend");
+    assert_eq!(accept_and_read_to_end(&listener), "", "sent to a draining endpoint");
     assert_eq!(client.response().unwrap().status(), 503);
 }
 
