--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -75,12 +75,14 @@
     #[error("{0}: missing")]
     Missing(&'static str),
     /// A field holds something else than it should.
-    #[error("{field}: not {expected}")]
+    #[error("{field}: not {expected}: {value}")]
     Invalid {
         /// The field.
         field: String,
         /// What it should hold.
         expected: &'static str,
+        /// What it holds.
+        value: Value,
     },
     /// A field that should hold an address holds something else.
     #[error("{field}: {text:?} is not an address and port")]
@@ -95,8 +97,8 @@
     Settings(#[from] SettingsFileError),
 }
 
-fn invalid(field: impl Into<String>, expected: &'static str) -> ConfigError {
-    ConfigError::Invalid { field: field.into(), expected }
+fn invalid(field: impl Into<String>, expected: &'static str, value: &Value) -> ConfigError {
+    ConfigError::Invalid { field: field.into(), expected, value: value.clone() }
 }
 
 /// The file, with the environment before it.
@@ -115,7 +117,7 @@
         match self.json.get(field) {
             None | Some(Value::Null) => Ok(None),
             Some(Value::String(text)) => Ok(Some(text.clone())),
-            Some(_) => Err(invalid(field, "a text")),
+            Some(value) => Err(invalid(field, "a text", value)),
         }
     }
 
@@ -129,7 +131,7 @@
             None | Some(Value::Null) => Ok(default),
             Some(value) => {
                 let limit = value.as_u64().and_then(|limit| usize::try_from(limit).ok());
-                limit.ok_or_else(|| invalid(format!("limits.{name}"), "a whole number"))
+                limit.ok_or_else(|| invalid(format!("limits.{name}"), "a whole number", value))
             }
         }
     }
@@ -137,12 +139,14 @@
     /// A number, or a text in hexadecimal, or any other text by its hash.
     fn seed(&self) -> Result<u64, ConfigError> {
         match self.json.get("seed") {
-            Some(Value::Number(number)) => number.as_u64().ok_or_else(|| invalid("seed", "a whole number")),
+            Some(value @ Value::Number(number)) => {
+                number.as_u64().ok_or_else(|| invalid("seed", "a whole number", value))
+            }
             Some(Value::String(text)) => {
                 Ok(u64::from_str_radix(text, 16).unwrap_or_else(|_| stable_hash(text)))
             }
             None => Err(ConfigError::Missing("seed")),
-            Some(_) => Err(invalid("seed", "a text")),
+            Some(value) => Err(invalid("seed", "a text", value)),
         }
     }
 
@@ -152,15 +156,20 @@
             Some(Value::Array(list)) => list
                 .iter()
                 .enumerate()
-                .map(|(index, value)| {
-                    parse_address(&format!("peers[{index}]"), value.as_str().unwrap_or_default())
-                })
+                .map(|(index, value)| parse_peer(&format!("peers[{index}]"), value))
                 .collect(),
-            Some(_) => Err(invalid("peers", "a list")),
+            Some(value) => Err(invalid("peers", "a list", value)),
         }
     }
 }
 
+fn parse_peer(field: &str, value: &Value) -> Result<SocketAddr, ConfigError> {
+    match value.as_str() {
+        Some(text) => parse_address(field, text),
+        None => Err(invalid(field, "a text", value)),
+    }
+}
+
 fn parse_address(field: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::Address { field: field.to_owned(), text: text.to_owned() })
 }
--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -20,12 +20,14 @@
     #[error("field config.{0}: missing")]
     Missing(String),
     /// A key holds something else than it should.
-    #[error("field config.{key}: not {expected}")]
+    #[error("field config.{key}: not {expected}: {value}")]
     Invalid {
         /// The key, as a path.
         key: String,
         /// What it should hold.
         expected: &'static str,
+        /// What it holds.
+        value: Value,
     },
 }
 
@@ -209,7 +211,7 @@
     fn number(self, path: &str) -> Result<f64, SettingsFileError> {
         match self.value(path) {
             Value::Null => Err(SettingsFileError::Missing(path.to_owned())),
-            value => value.as_f64().ok_or_else(|| invalid(path, "a number")),
+            value => value.as_f64().ok_or_else(|| invalid(path, "a number", value)),
         }
     }
 
@@ -222,14 +224,14 @@
     fn count(self, path: &str, default: u32) -> Result<u32, SettingsFileError> {
         let number = self.number_or(path, f64::from(default))?;
         let is_count = (0.0..=f64::from(u32::MAX)).contains(&number) && number.fract() == 0.0;
-        if is_count { Ok(number as u32) } else { Err(invalid(path, "a whole number")) }
+        if is_count { Ok(number as u32) } else { Err(invalid(path, "a whole number", self.value(path))) }
     }
 
     /// A truth value; absent means no.
     fn flag(self, path: &str) -> Result<bool, SettingsFileError> {
         match self.value(path) {
             Value::Null => Ok(false),
-            value => value.as_bool().ok_or_else(|| invalid(path, "true or false")),
+            value => value.as_bool().ok_or_else(|| invalid(path, "true or false", value)),
         }
     }
 
@@ -237,7 +239,7 @@
     fn word(self, path: &str) -> Result<&'a str, SettingsFileError> {
         match self.value(path) {
             Value::Null => Ok(""),
-            value => value.as_str().ok_or_else(|| invalid(path, "a word")),
+            value => value.as_str().ok_or_else(|| invalid(path, "a word", value)),
         }
     }
 
@@ -245,11 +247,11 @@
     fn list(self, path: &str) -> Result<&'a [Value], SettingsFileError> {
         match self.value(path) {
             Value::Null => Ok(&[]),
-            value => value.as_array().map(Vec::as_slice).ok_or_else(|| invalid(path, "a list")),
+            value => value.as_array().map(Vec::as_slice).ok_or_else(|| invalid(path, "a list", value)),
         }
     }
 }
 
-fn invalid(path: &str, expected: &'static str) -> SettingsFileError {
-    SettingsFileError::Invalid { key: path.to_owned(), expected }
+fn invalid(path: &str, expected: &'static str, value: &Value) -> SettingsFileError {
+    SettingsFileError::Invalid { key: path.to_owned(), expected, value: value.clone() }
 }
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -82,13 +82,14 @@
     assert!(said(r#"{"classes": []}"#).contains("config.rules.coldMs: missing"));
     assert!(said(r#"{"classes": [{"name": "x"}]}"#).contains("config.hardLimitMs"));
     assert!(said(&CONFIG.replace("\"instances\": 3", "\"instances\": -1")).contains("config.instances"));
-    for (field, broken) in [
-        ("config.areas", CONFIG.replace(r#"["a", "b"]"#, "7")),
-        ("config.zone", CONFIG.replace(r#""zone": "b""#, r#""zone": 5"#)),
-        ("config.limits.probing", CONFIG.replace("true", "\"yes\"")),
-        ("config.rules.coldMs", CONFIG.replace("20000", "\"long\"")),
+    for (field, value, broken) in [
+        ("config.areas", "7", CONFIG.replace(r#"["a", "b"]"#, "7")),
+        ("config.zone", "5", CONFIG.replace(r#""zone": "b""#, r#""zone": 5"#)),
+        ("config.limits.probing", "\"yes\"", CONFIG.replace("true", "\"yes\"")),
+        ("config.rules.coldMs", "\"long\"", CONFIG.replace("20000", "\"long\"")),
     ] {
         assert!(said(&broken).contains(field), "{field}: {}", said(&broken));
+        assert!(said(&broken).ends_with(value), "{value}: {}", said(&broken));
     }
 }
 
--- a/tests/node_clients.rs
+++ b/tests/node_clients.rs
@@ -258,18 +258,19 @@
 
 #[test]
 fn a_wrong_setting_is_named_and_ends_the_start() {
-    let cases: [(&str, Change); 5] = [
-        ("listen", |c| c["listen"] = "nowhere".into()),
-        ("peers[1]", |c| c["peers"] = serde_json::json!(["127.0.0.1:1", 7])),
-        ("limits.sockets", |c| c["limits"]["sockets"] = "many".into()),
-        ("rules.coldMs", |c| c["settings"]["rules"]["coldMs"] = "long".into()),
-        ("classes", |c| c["settings"]["classes"] = serde_json::json!([])),
+    let cases: [(&str, &str, Change); 5] = [
+        ("listen", "\"nowhere\"", |c| c["listen"] = "nowhere".into()),
+        ("peers[1]", "not a text: 7", |c| c["peers"] = serde_json::json!(["127.0.0.1:1", 7])),
+        ("limits.sockets", "\"many\"", |c| c["limits"]["sockets"] = "many".into()),
+        ("rules.coldMs", "\"long\"", |c| c["settings"]["rules"]["coldMs"] = "long".into()),
+        ("classes", "", |c| c["settings"]["classes"] = serde_json::json!([])),
     ];
-    for (field, change) in cases {
+    for (field, value, change) in cases {
         let mut node = Node::launch(free_address(), change, "exec \"$0\"");
         assert!(!node.wait_for_exit().success(), "{field}");
         let log = node.log();
         assert!(log.contains(field), "{field} is not named: {log}");
+        assert!(log.contains(value), "{value} is not named: {log}");
     }
 }
 
