--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -1,8 +1,8 @@
 //! What the end of an attempt says of its endpoint, its class and the fleet.
 //!
-//! One outcome feeds several estimates, and some outcomes say nothing of the endpoint: attempts that the
-//! node itself cancelled, timeouts at a short client deadline, failures of one class alone. This module decides who learns from
-//! what; each estimate is kept by its own module.
+//! One outcome feeds several estimates, and some outcomes say nothing of the endpoint: attempts that
+//! the node itself cancelled, timeouts at a short client deadline, failures of one class alone. This
+//! module decides who learns from what; each estimate is kept by its own module.
 
 use super::action::Action;
 use super::balancer::Balancer;
