--- a/fault-soak/src/client.rs
+++ b/fault-soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each asks one node after another, keeps connections, and now and then misbehaves.
+//! Clients: each sends requests to one node after another, reuses connections, and now and then misbehaves.
 
 use crate::http::{Message, ReadError};
 use crate::record::{ClientAnswer, ClientRequest, ConnectionClose, Record, Rule};
@@ -26,7 +26,7 @@
 const MAX_PIECE_PAUSE: Duration = Duration::from_millis(400);
 /// For how long an idle client stays.
 const IDLE_TIME: Duration = Duration::from_secs(10);
-/// Of ten requests, those that go to the client's own node, and those that may use a kept connection.
+/// Of ten requests, those that go to the client's own node, and those that may reuse a connection.
 const HOME_IN_TEN: u32 = 8;
 const KEEP_ALIVE_IN_TEN: u32 = 9;
 /// A client that leaves early does so within this part of its time.
@@ -51,7 +51,7 @@
     pub pace: AtomicU64,
     /// How many of a hundred requests are left by their clients.
     pub leaving: AtomicU64,
-    /// Nobody asks any more.
+    /// No more requests are sent.
     pub over: AtomicBool,
     next_id: AtomicU64,
     record: Arc<Record>,
@@ -70,7 +70,7 @@
     KeepAlive(Connection),
     /// It is over, one way or another.
     Over,
-    /// The node ended a kept connection before it read the request, as far as the client can tell.
+    /// The node ended a reused connection before it read the request, as far as the client can tell.
     CrossedClose,
     /// There was no connection.
     NoConnection,
@@ -84,7 +84,7 @@
     EndedBetweenPieces,
 }
 
-/// What a client asks.
+/// A client's request.
 #[derive(Clone, Copy)]
 struct Demand {
     node: usize,
@@ -303,7 +303,7 @@
         }
     }
 
-    /// A connection that asks for nothing, until the node ends it.
+    /// A connection without requests, until the node ends it.
     pub async fn idle(self: Arc<Self>, node: usize) {
         let Some(mut stream) = self.connect(node).await else { return };
         let mut byte = [0];
--- a/fault-soak/src/fault_injection.rs
+++ b/fault-soak/src/fault_injection.rs
@@ -175,7 +175,7 @@
         replaced.join_all().await;
     }
 
-    /// The list drops a server, which ends a while later and comes back cold.
+    /// The list drops a server, which ends a while later and comes back in slow start.
     async fn replace(&self, server: usize, time: Duration) {
         self.discovery.change(server, "removed", None, ServerChange::Withdrawn);
         tokio::time::sleep(ANSWERS_AFTER_REMOVAL.min(time)).await;
@@ -184,7 +184,7 @@
         self.revive(server).await;
     }
 
-    /// A server dies, which the list says late, and comes back cold.
+    /// A server dies, which the list says late, and comes back in slow start.
     async fn crash(&self, server: usize, time: Duration) {
         self.servers[server].die().await;
         tokio::time::sleep(DEATH_NOTICE).await;
@@ -199,7 +199,7 @@
         self.servers[server].set(ServerMode::Healthy);
     }
 
-    /// A server is there again, cold, and the list says so by the wall clock.
+    /// A server is back, in slow start, and the list says so by the wall clock.
     async fn revive(&self, server: usize) {
         self.servers[server].revive().await;
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/fault-soak/src/http.rs
+++ b/fault-soak/src/http.rs
@@ -15,7 +15,7 @@
     pub body: Vec<u8>,
 }
 
-/// What came before there was a whole message.
+/// What came in place of a complete message.
 #[derive(Debug)]
 pub enum ReadError {
     /// The end, with nothing before it.
--- a/fault-soak/src/node.rs
+++ b/fault-soak/src/node.rs
@@ -23,13 +23,13 @@
 
 /// New connections come for so long after SIGTERM.
 const FRONT_CLOSES_AFTER_TERM: Duration = Duration::from_millis(300);
-/// SIGKILL comes no sooner than this after SIGTERM: the longest deadline, held for 3 s at least, and 0.7 s.
+/// SIGKILL comes no sooner than this after SIGTERM: the longest deadline, taken for 3 s at least, and 0.7 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3700);
 /// The front still sends to a node that died for so long.
 const FRONT_NOTICES_DEATH: Duration = Duration::from_millis(1000);
 /// A process must be ready within this.
 const READY_TIMEOUT: f64 = 30.0;
-/// A new process beside an old one has so long to say yes.
+/// How long a new process that starts alongside an old one has to become ready.
 const UPGRADE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Console calls are answered within this.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(1);
@@ -205,9 +205,9 @@
         process.as_mut().is_some_and(|process| matches!(process.child.try_wait(), Ok(None)))
     }
 
-    /// Notes a process that has ended though nobody told it to.
+    /// Records a process that has ended by itself.
     pub async fn check(&self) {
-        // Held for as long as this looks: nobody else may end the process meanwhile.
+        // Locked during the check: no other task may end the process meanwhile.
         let Ok(_busy) = self.busy.try_lock() else { return };
         if self.process.lock().await.is_some() && !self.runs().await {
             self.record_violation(Rule::Process, "ended by itself");
@@ -240,7 +240,7 @@
         });
     }
 
-    /// Waits for a process to end that was told to.
+    /// Waits for the end of a terminated process.
     async fn ended(&self, mut process: Process) {
         match tokio::time::timeout(SHUTDOWN_TIMEOUT, process.child.wait()).await {
             Ok(Ok(status)) if status.success() => {}
@@ -270,7 +270,7 @@
         self.start().await;
     }
 
-    /// A new process beside the old one, which ends once the new one is ready.
+    /// Starts a new process alongside the old one, which ends once the new one is ready.
     pub async fn upgrade(&self) {
         let _busy = self.busy.lock().await;
         if self.lasting.is_none() {
@@ -332,7 +332,7 @@
         self.faults.set(fault, 0);
     }
 
-    /// Ends it for good, and looks through what its processes have said.
+    /// Ends it for good, and checks the logs of its processes.
     pub async fn finish(&self) {
         let _busy = self.busy.lock().await;
         self.stop().await;
--- a/fault-soak/src/oracle/request_rules.rs
+++ b/fault-soak/src/oracle/request_rules.rs
@@ -8,7 +8,7 @@
 const LOST_AFTER: f64 = 0.5;
 /// An attempt may begin so long after its client has gone, in seconds.
 const GONE_SLACK: f64 = 0.1;
-/// A server may be told so much more time than is left, in seconds.
+/// A server may be given this much more time than is left, in seconds.
 const DEADLINE_SLACK: f64 = 0.15;
 
 /// One request under judgement.
@@ -80,7 +80,7 @@
             None => (request.deadline(), "no answer"),
         };
         let is_closed_before_answer = request.closed.is_some_and(|closed| !closed.within_answer);
-        // A kept connection that ends as a request comes is no loss, unless the request was read.
+        // A reused connection that ends as a request comes is no loss, unless the request was read.
         let crossed_close = !request.new_connection && is_closed_before_answer;
         let is_lost = !crossed_close || !case.attempts.is_empty();
         if !is_lost || self.was_killed(request.node, request.sent_at, at) {
@@ -144,7 +144,7 @@
         (count > MAX_ATTEMPTS).then(|| case.violation(case.request.sent_at, Rule::Attempts, &what))
     }
 
-    /// Rule `Deadline`: a server is told no more time than is left.
+    /// Rule `Deadline`: a server is given no more time than is left.
     fn deadline(&self, case: &Case<'_>, attempt: &ServerAttempt) -> Option<Violation> {
         let at = attempt.complete_at;
         let timeout = attempt.timeout?;
--- a/fault-soak/src/oracle/server_rules.rs
+++ b/fault-soak/src/oracle/server_rules.rs
@@ -5,7 +5,7 @@
 use crate::server::{CORES, WORK};
 use crate::settings::{DRAIN_GRACE, INITIAL_CAPACITY, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, SLOW_START_TIME};
 
-/// An attempt at a cold server, and whether its node knew that the server had started.
+/// An attempt at a server in slow start, and whether its node knew that the server had started.
 struct ColdAttempt {
     at: f64,
     node_knew: bool,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Rule `Cold`: no cold server gets more than it may in any window, from nodes that knew.
+    /// Rule `Cold`: no server in slow start gets more than it may in any window, from nodes that knew.
     pub(super) fn cold(&self, attempts: &[ServerAttempt], found: &mut Vec<Violation>) {
         let starts = self.changes.iter().filter(|change| change.change == ServerChange::Restarted);
         found.extend(starts.filter_map(|start| self.overfed(start, attempts)));
@@ -96,7 +96,7 @@
         None
     }
 
-    /// What a server got while it was cold, in order.
+    /// What a server got during its slow start, in order.
     fn cold_attempts(&self, start: &ChangeRecord, attempts: &[ServerAttempt]) -> Vec<ColdAttempt> {
         let cold_time = start.at..start.at + SLOW_START_TIME.as_secs_f64();
         let of_start = |a: &&ServerAttempt| a.server == start.server && cold_time.contains(&a.complete_at);
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -81,7 +81,7 @@
     Withdrawn,
     /// It may be sent to.
     InService,
-    /// It has started, and is cold.
+    /// It has started, and is in slow start.
     Restarted,
 }
 
@@ -118,7 +118,7 @@
 pub struct ProcessGap {
     /// The node.
     pub node: usize,
-    /// When it was killed, or told to end.
+    /// When it was killed or terminated.
     pub from: f64,
     /// It was killed: what it had is lost, and what came before the next process was ready may be late.
     pub killed: bool,
@@ -173,19 +173,19 @@
     Duplicate,
     /// Nothing new goes to a server that was withdrawn.
     Drain,
-    /// No cold server is overfed.
+    /// No server in slow start is overloaded.
     Cold,
     /// No attempt begins for a client that has gone.
     Gone,
-    /// No server is told more time than the client has.
+    /// No server is given more time than the client has.
     Deadline,
     /// Answers are those of a server to this request; rejections do no harm.
     Truth,
     /// There are no more attempts than allowed.
     Attempts,
-    /// No process ends by itself, and each ends in time when told to.
+    /// No process ends by itself, and each ends in time after SIGTERM.
     Process,
-    /// The `done` of a command is kept.
+    /// An acknowledged command stays in effect.
     Done,
     /// A malformed client gets an error or a close in time.
     Rude,
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -48,7 +48,7 @@
     pub servers: usize,
     /// The node's program.
     pub program: PathBuf,
-    /// Where logs are to be kept.
+    /// The folder for logs.
     pub logs: Option<PathBuf>,
 }
 
--- a/fault-soak/src/schedule.rs
+++ b/fault-soak/src/schedule.rs
@@ -22,7 +22,7 @@
     Pipeline { node: usize, count: usize },
     /// A new configuration that moves discovery, and SIGHUP.
     Reload { node: usize },
-    /// A new process beside the old one, which is told to stop once the new one is ready.
+    /// A new process alongside the old one, which is terminated once the new one is ready.
     Upgrade { node: usize },
     /// SIGSTOP and SIGCONT.
     HoldUp { node: usize, for_ms: u64 },
@@ -32,9 +32,9 @@
     Ban { node: usize, server: usize, for_ms: u64 },
     /// The list says that a server drains, then that it is back.
     Drain { server: usize, for_ms: u64 },
-    /// The list drops a server, which ends a while later, and has it back, cold.
+    /// The list drops a server, which ends a while later, and has it back, in slow start.
     Replace { server: usize, for_ms: u64 },
-    /// A server dies and comes back cold; discovery is late to say so.
+    /// A server dies and comes back in slow start; discovery is late to say so.
     Crash { server: usize, for_ms: u64 },
     /// A server says nothing more to what it gets.
     Hang { server: usize, for_ms: u64 },
@@ -58,7 +58,7 @@
     DiscoverySilent { for_ms: u64 },
     /// The count of versions begins anew.
     CountAnew,
-    /// Half as much again is asked.
+    /// Half as many requests again come.
     Burst { for_ms: u64 },
     /// Clients leave early.
     Leave { for_ms: u64 },
@@ -72,7 +72,7 @@
     Interrupt { node: usize, one_in: i64, for_ms: u64 },
     /// Accept, socket and connect fail for a moment.
     LocalFailures { node: usize, one_in: i64, for_ms: u64 },
-    /// The process is held up between its clock and its writes.
+    /// The process is suspended between its clock and its writes.
     SlowWrites { node: usize, one_in: i64, for_ms: u64 },
     /// Writes and syncs of files fail.
     DiskFails { node: usize, for_ms: u64 },
--- a/fault-soak/src/server.rs
+++ b/fault-soak/src/server.rs
@@ -90,7 +90,7 @@
         self.proxy.set(Mode::Dead).await;
     }
 
-    /// Is there again, cold.
+    /// Serves again, in slow start.
     pub async fn revive(&self) {
         self.set(ServerMode::Healthy);
         self.up.store(true, Ordering::SeqCst);
@@ -176,7 +176,7 @@
     }
 }
 
-/// How the end of an answer is told.
+/// How the end of a response is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Length,
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -23,7 +23,7 @@
 pub const SLOW_START_TIME: Duration = Duration::from_secs(6);
 /// See `SLOW_START_TIME`.
 pub const INITIAL_CAPACITY: f64 = 0.25;
-/// A cold server falls over when it is sent more than this multiple of its capacity over this time.
+/// A server in slow start is overloaded when it is sent more than this multiple of its capacity over this time.
 pub const OVERLOAD_MULTIPLE: f64 = 3.0;
 /// See `OVERLOAD_MULTIPLE`.
 pub const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
@@ -62,7 +62,7 @@
     pub discovery: DiscoveryMode,
     /// Descriptors that a node may hold.
     pub sockets: usize,
-    /// Part of what all servers can do that is asked for.
+    /// Offered load, as a part of what all servers can do.
     pub load: f64,
 }
 
@@ -81,9 +81,9 @@
 /// How nodes hear of the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// An agent beside each node has it.
+    /// An agent on each node's machine has it.
     Push,
-    /// One service for all nodes is asked.
+    /// One service for all nodes is polled.
     Poll,
 }
 
@@ -125,7 +125,7 @@
     pub discovery: [SocketAddr; 2],
 }
 
-/// What is told to one process alone.
+/// What is set for one process alone.
 #[derive(Clone, Debug)]
 pub struct Start {
     /// Its node's name.
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -1,7 +1,7 @@
 //! Takes operators' connections and carries their commands out.
 //!
 //! A command is read completely before anything is done about it. Operators are few and never wait behind
-//! clients: their descriptors are kept free, and when all places are taken the connection that has been
+//! clients: their descriptors are reserved, and when all of them are in use the connection that has been
 //! silent for longest goes.
 
 use super::command::{AdminCommand, CommandError, MAX_LENGTH};
@@ -39,7 +39,7 @@
     /// It names an endpoint that nobody knows.
     #[error("no server of this id is on the list or out of service")]
     UnknownEndpoint,
-    /// It cannot be kept for the next process.
+    /// It cannot be stored for the next process.
     #[error(transparent)]
     Override(#[from] OverrideError),
     /// The process is to end.
@@ -182,7 +182,7 @@
         Ok(if has_changed { "in service again, cold" } else { "was not out of service" })
     }
 
-    /// True if the command changed anything. Where a later process may take over, the change is kept for it
+    /// True if the command changed anything. Where a later process may take over, the change is stored for it
     /// before this returns.
     async fn set_disabled(&self, id: &str, disable: bool) -> Result<bool, AdminError> {
         let endpoint = self.driver.find_endpoint(id).ok_or(AdminError::UnknownEndpoint)?;
@@ -207,7 +207,7 @@
     }
 }
 
-/// Reads up to the first line's end, which is not kept.
+/// Reads up to the end of the first line, without the line break.
 async fn read_line(stream: &mut Socket, line: &mut Vec<u8>) -> Result<(), CommandError> {
     let mut buffer = [0; MAX_LENGTH];
     loop {
--- a/src/node/discovery/client.rs
+++ b/src/node/discovery/client.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// What a call asks for.
+/// What a call requests.
 #[derive(Clone, Copy, Debug)]
 pub enum Call {
     /// What has changed by now; the full list where no version is known.
@@ -153,7 +153,7 @@
         DiscoveryClient { mode, timeouts: timeouts(mode), names, descriptors, connection: None }
     }
 
-    /// Closes the connection that is kept.
+    /// Closes the kept-alive connection.
     pub fn disconnect(&mut self) {
         self.connection = None;
     }
@@ -274,7 +274,7 @@
         Ok(UpstreamConnection::open(address, deadline, permit, READ_BUFFER).await?)
     }
 
-    /// One request and its answer, on the connection that is kept or a new one.
+    /// One request and its answer, on the kept-alive connection or a new one.
     async fn exchange(
         &self,
         address: SocketAddr,
--- a/src/node/discovery/endpoint_list.rs
+++ b/src/node/discovery/endpoint_list.rs
@@ -55,12 +55,12 @@
         is_base.then_some(self.version)
     }
 
-    /// Whether it tells anything beyond a version that is known.
+    /// Whether it has anything beyond a known version.
     pub fn has_news(&self, known_version: u64) -> bool {
         self.version != known_version || self.is_complete || !self.endpoints.is_empty()
     }
 
-    /// What the decisions are told that it contains.
+    /// The kind of update that it is to the decisions.
     pub fn update(&self) -> WatchUpdate {
         if self.is_complete { WatchUpdate::Snapshot } else { WatchUpdate::Delta }
     }
--- a/src/node/frontend/client_connection.rs
+++ b/src/node/frontend/client_connection.rs
@@ -51,7 +51,7 @@
     pub idle_since: Cell<Instant>,
     /// Bytes read when it last became idle.
     read_when_idle: Cell<u64>,
-    /// When it was first found with a partly read request, under pressure.
+    /// When it was first seen with a partly read request while descriptors were scarce.
     stuck_since: Cell<Option<Instant>>,
     pub is_closing: Cell<bool>,
     /// Requests with a Content-Length.
--- a/src/node/frontend/eviction.rs
+++ b/src/node/frontend/eviction.rs
@@ -10,7 +10,7 @@
 
 /// The first request of a connection this young is probably in flight.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(25);
-/// Under pressure, a client that has not gone on with a request for so long is evicted.
+/// If descriptors are scarce, a client that has not gone on with a request for so long is evicted.
 const STUCK_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The order in which connections are closed, the first first.
@@ -71,7 +71,7 @@
 impl Frontend {
     /// Closes one connection to free a descriptor: clients that have sent no request go before those that
     /// will send another, the oldest first. A client that has just connected may be about to send one. If
-    /// such clients hold most of the places, they are waited for, and no usual client is closed for them.
+    /// such clients have most of the descriptors, they are waited for, and no usual client is closed for them.
     pub(super) fn evict_one(&self) {
         let clients = self.clients.borrow();
         let mut order: Vec<Evictable<'_>> = clients.values().filter_map(Evictable::new).collect();
--- a/src/node/frontend/listener.rs
+++ b/src/node/frontend/listener.rs
@@ -15,14 +15,14 @@
 /// What one pass of the accept loop brought.
 enum AcceptEvent {
     Accepted(Result<TcpStream, AcceptError>),
-    /// The process has just been told to stop.
+    /// SIGTERM has just come.
     StopRequested,
     /// No connection comes any more.
     Over,
 }
 
 impl Frontend {
-    /// Takes connections until told to stop, and then for as long as they still come.
+    /// Accepts connections until SIGTERM, and then for as long as they still come.
     pub async fn accept(self: &Rc<Self>, acceptor: Acceptor) {
         let mut last_accepted_at = Instant::now();
         // Connections that came while this task was not polled wait in the backlog, and no more than that
@@ -38,7 +38,7 @@
             match accepted {
                 Ok(stream) => {
                     last_accepted_at = Instant::now();
-                    // Under pressure this waits for a descriptor: others wait in the backlog and are taken
+                    // If descriptors are scarce this waits for one: others wait in the backlog and are taken
                     // then.
                     let permit = self.descriptors.take_for_client().await;
                     let waited_since = accept_time::first_byte(&stream, acceptor.waited_at_most());
--- a/src/node/frontend/mod.rs
+++ b/src/node/frontend/mod.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Whether more clients stay than there are descriptors for to be kept idle: those that ask now are
+    /// Whether more clients stay than may keep idle connections: those whose requests come now are
     /// served and go, so that the next find a place.
     fn has_too_many_keep_alive(&self) -> bool {
         let stays = |client: &&Rc<ClientConnection>| client.has_sent_request() && !client.is_closing();
--- a/src/node/frontend/readiness.rs
+++ b/src/node/frontend/readiness.rs
@@ -16,7 +16,7 @@
 /// Why the node takes no clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotReady {
-    /// It has been told to stop.
+    /// SIGTERM has come.
     Stopping,
     /// Operators want no clients here.
     Drained,
--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -1,4 +1,4 @@
-//! A client's request, turned from head and body into what the decisions and an endpoint need, or rejected.
+//! Reads a client's request into what the decisions and an endpoint need, or rejects it.
 //!
 //! What is rejected here costs no endpoint anything and is answered at once. Its connection ends with the
 //! answer: the rest of what such a client sends is not wanted, and may not mean what it seems to.
@@ -179,7 +179,7 @@
         })
     }
 
-    /// Reads a whole body, or the first part of one that is too long to be buffered. It takes memory as it
+    /// Reads a complete body, or the first part of one that is too long to be buffered. It takes memory as it
     /// comes: what is announced but not sent takes none from others.
     async fn collect(
         &self,
--- a/src/node/frontend/shutdown.rs
+++ b/src/node/frontend/shutdown.rs
@@ -25,7 +25,7 @@
 /// Until when new connections are taken, as far as that is known.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AcceptWindow {
-    /// None while the process is not told to stop.
+    /// None before SIGTERM.
     closes_at: Option<Instant>,
 }
 
--- a/src/node/observability/counters.rs
+++ b/src/node/observability/counters.rs
@@ -48,7 +48,7 @@
     SendToWithdrawn,
     /// An attempt past the deadline of its request.
     SendPastDeadline,
-    /// More attempts than allowed, or a second one beside the first where that is not.
+    /// More attempts than allowed, or a second one in parallel where that is not allowed.
     SendBeyondLimit,
     /// A repeat that the idempotency of the request does not allow.
     RepeatAgainstIdempotency,
--- a/src/node/observability/request_trace.rs
+++ b/src/node/observability/request_trace.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 use wheelpath::policy::{AttemptOutcome, EndpointId, RejectionReason};
 
-/// Steps that are kept; what follows is left out. No request should have as many.
+/// Steps that are recorded; what follows is left out. No request should have as many.
 const MAX_STEPS: usize = 32;
 
 /// How a request ended for its client.
@@ -48,7 +48,7 @@
     EndpointWithdrawn,
     /// The endpoint may have forgotten an earlier attempt by now.
     RepeatTooLate,
-    /// Part of the body has gone out and is kept nowhere.
+    /// Part of the body has been sent and is buffered nowhere.
     BodySpent,
 }
 
--- a/src/node/snapshot/store.rs
+++ b/src/node/snapshot/store.rs
@@ -102,7 +102,7 @@
     }
 
     /// The snapshot, as if no time had passed since it was written. How long that is cannot be known, and
-    /// an endpoint that is cold or congested for longer than need be breaks no rule.
+    /// an endpoint that is in slow start or congested for longer than need be breaks no rule.
     pub fn snapshot(&self, now_ms: f64) -> EndpointSnapshot {
         EndpointSnapshot {
             endpoint: EndpointId(self.id),
--- a/src/node/snapshot/takeover.rs
+++ b/src/node/snapshot/takeover.rs
@@ -219,7 +219,7 @@
             .is_ok_and(|stored| stored.is_some_and(|stored| stored.revision == revision));
         if is_visible {
             self.override_revision.set(revision + 1);
-            // Where this fails, too, the next turn tries again.
+            // If this fails, too, the next comparison tries again.
             let _ = self.write_overrides(revision + 1, known, Durability::Visible);
         }
         written
@@ -254,7 +254,7 @@
         if self.stored_overrides().revision == self.override_revision.get() {
             return;
         }
-        // While another process is changing them there is nothing to compare; the next turn comes soon.
+        // While another process is changing them there is nothing to compare; the next comparison comes soon.
         let Ok(_lock) = FolderLock::try_acquire(&self.folder) else { return };
         let stored = self.stored_overrides();
         let revision = self.override_revision.get();
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -98,7 +98,7 @@
     body_memory: usize,
 }
 
-/// Runs the node until it is told to stop and has ended what it had.
+/// Runs the node until SIGTERM, and until what it had taken is answered.
 ///
 /// # Errors
 /// The node cannot start.
@@ -107,7 +107,7 @@
     let mut terminate = retry_transient(SignalReceiver::terminate).await.map_err(StartupError::Signals)?;
     let hangup = retry_transient(SignalReceiver::hangup).await.map_err(StartupError::Signals)?;
     let config = Config::load()?;
-    // Where the platform holds the listening socket, another process may serve beside this one.
+    // Where the platform holds the listening socket, another process may serve in parallel.
     let is_shared = inherited.is_some();
     let sockets = open_sockets(&config, inherited).await?;
     let resources = allot_resources(&config, is_shared);
--- a/src/node/system/connect.rs
+++ b/src/node/system/connect.rs
@@ -10,7 +10,7 @@
 /// Why there is no connection.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// This machine could not begin one: the other side has not been asked.
+    /// This machine could not begin one: the other side has received nothing.
     #[error("this machine cannot connect: {0}")]
     Local(io::Error),
     /// The other side refused, or could not be reached.
--- a/src/node/system/descriptors.rs
+++ b/src/node/system/descriptors.rs
@@ -16,7 +16,7 @@
 const MIN_DESCRIPTORS: usize = 8;
 /// Clients may hold all but this part of them.
 const KEPT_FROM_CLIENTS_PART: usize = 3;
-/// A wait for a permit looks again so often: what was asked to close may have become busy meanwhile.
+/// A wait for a permit checks again after this time: a connection that was to close may have become busy.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Closes something idle. True if a descriptor was freed at once; false if none was, or it will be soon.
@@ -82,7 +82,7 @@
         self.reclaim_endpoint_connection() || self.reclaim_client()
     }
 
-    /// Waits for a permit: under pressure something idle is closed for it.
+    /// Waits for a permit; if none is free, an idle connection is closed for it.
     pub async fn take(self: &Rc<Self>) -> DescriptorPermit {
         while self.used.get() >= self.limit {
             if !self.reclaim() {
--- a/src/node/system/socket.rs
+++ b/src/node/system/socket.rs
@@ -107,7 +107,7 @@
 
     /// Its close will not look like an orderly end.
     pub fn reset(&self) {
-        // Where the system refuses, the other side still has no whole answer.
+        // If this fails, the other side still has no complete response.
         let _ = socket2::SockRef::from(&self.0.stream).set_linger(Some(Duration::ZERO));
     }
 
@@ -133,7 +133,7 @@
     }
 }
 
-/// The connection is intact, but the system has no room for the moment: the task is polled again.
+/// The connection is intact, but the system's buffers are full for the moment: the task is polled again.
 fn try_later<T>(cx: &Context<'_>) -> Poll<T> {
     cx.waker().wake_by_ref();
     Poll::Pending
--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -22,12 +22,12 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// A short response of which nothing more comes for so long never will be whole.
+/// A short response of which nothing more comes for this time counts as never complete.
 const SHORT_RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(200);
 /// A response of unknown length is passed on from then on: it may be a long one.
 const UNKNOWN_LENGTH_BUFFER_TIME: Duration = Duration::from_millis(100);
 
-/// Why there is no whole response.
+/// Why there is no complete response.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
     /// The connection broke or ended.
@@ -169,11 +169,11 @@
         Ok(FirstPart { bytes: buffered.freeze(), is_complete: true })
     }
 
-    /// Sends one request and reads its whole response, with a body of `max_body` bytes at most, which is
+    /// Sends one request and reads its complete response, with a body of `max_body` bytes at most, which is
     /// there within `body_timeout` after the head.
     ///
     /// # Errors
-    /// The connection broke, or what came is no whole response.
+    /// The connection broke, or what came is no complete response.
     pub async fn exchange(
         &mut self,
         request: Request<UpstreamBody>,
--- a/src/node/upstream/idle_age.rs
+++ b/src/node/upstream/idle_age.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-/// Age classes: one for new connections, then two for each doubling from the youngest age that is told
+/// Age classes: one for new connections, then two for each doubling from the youngest age that is distinguished
 /// apart.
 const STEPS: usize = 24;
 const YOUNGEST_MS: f64 = 10.0;
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! Connections to endpoints, and the attempts on them. One request at a time on each.
 //!
 //! [`attempt`] sends one attempt and reports how it ended, on a connection of the [`pool`]. [`connection`]
-//! is one such connection. Bodies of up to [`MAX_BUFFERED_BODY`] bytes are read whole and can be sent
+//! is one such connection. Bodies of up to [`MAX_BUFFERED_BODY`] bytes are buffered and can be sent
 //! again; longer ones are passed on as they come, by [`request_body`] and [`response_body`].
 
 mod attempt;
@@ -19,7 +19,7 @@
 
 use thiserror::Error;
 
-/// Bodies up to this many bytes are read whole, and can be sent again; longer ones are passed on as they
+/// Bodies up to this many bytes are buffered, and can be sent again; longer ones are passed on as they
 /// come.
 pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
 /// Bodies hold at most this many bytes, either way.
--- a/src/node/upstream/request_body.rs
+++ b/src/node/upstream/request_body.rs
@@ -19,7 +19,7 @@
 /// Grace on top of the time that this rate allows, and the longest pause between two pieces.
 const RATE_GRACE: Duration = Duration::from_secs(2);
 
-/// What a client asked, to be sent on unchanged.
+/// A client's request, to be forwarded unchanged.
 pub struct ProxiedRequest {
     /// Its method.
     pub method: Method,
@@ -81,7 +81,7 @@
         self.streamed_body().filter(|body| body.completed_at.get().is_none()).map(Rc::as_ref)
     }
 
-    /// The request as it is sent to an endpoint, which is told to answer within `timeout`.
+    /// The request as it is sent to an endpoint, with `timeout` as the time left to answer.
     pub(super) fn to_endpoint(&self, address: SocketAddr, timeout: Duration) -> Request<UpstreamBody> {
         let mut request = Request::new(self.upstream_body());
         *request.method_mut() = self.method.clone();
--- a/src/node/upstream/response_body.rs
+++ b/src/node/upstream/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of a response on its way to the client, whole or streamed.
+//! The body of a response on its way to the client, buffered or streamed.
 
 use super::connection::UpstreamConnection;
 use super::{BodyError, MAX_BODY};
@@ -17,7 +17,7 @@
 /// second at times.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How a streamed response ended, with its connection if that can be kept.
+/// How a streamed response ended, with its connection if that can be reused.
 pub type StreamEnd = (AttemptOutcome, Option<UpstreamConnection>);
 
 /// The body of a response that goes to the client.
@@ -38,7 +38,7 @@
     stall: Pin<Box<Sleep>>,
     /// What the client's side keeps for as long as this lasts.
     held: Option<Box<dyn Any>>,
-    /// Told how it ended; where this is dropped untold, the client has left.
+    /// Receives how it ended; dropped without a message, it means that the client has left.
     ended: Option<oneshot::Sender<StreamEnd>>,
 }
 
@@ -135,7 +135,7 @@
             return Err(BodyError::TooLong);
         }
         if Some(self.passed_bytes) == self.length {
-            // Nobody asks for more than that.
+            // Nothing reads beyond that.
             self.finish(cx);
         }
         Ok(data)
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -1,4 +1,4 @@
-//! What a balancer asks its host to do.
+//! The actions that a balancer orders its host to carry out.
 
 use super::decision_log::DecisionLog;
 use super::endpoint::EndpointId;
--- a/src/policy/class_outlier.rs
+++ b/src/policy/class_outlier.rs
@@ -1,9 +1,9 @@
 //! Finds a class that fails at one endpoint only.
 //!
 //! Some faults concern one kind of work, which hangs or is rejected while all else is served. The failure
-//! record would have to give up the endpoint for all classes. So failures are also kept by class: the keys
+//! record would have to give up the endpoint for all classes. So failures are also counted by class: the keys
 //! of a class that is an outlier have their candidates among the other endpoints, and its failures are not
-//! held against the endpoint. Where it is chance, a few keys move for some seconds.
+//! counted against the endpoint. Where it is chance, a few keys move for some seconds.
 
 use super::class_statistics::ClassStatistics;
 use super::decaying_mean::{DecayingMean, MEMORY_MS};
--- a/src/policy/connection_scarcity.rs
+++ b/src/policy/connection_scarcity.rs
@@ -21,7 +21,7 @@
 }
 
 impl ConnectionScarcity {
-    /// Takes in an outcome; `hold_ms` is for how long connections are then held to be scarce. True if they
+    /// Takes in an outcome; `hold_ms` is for how long connections then count as scarce. True if they
     /// have just become so: idle connections at all endpoints are to be closed.
     pub fn record(&mut self, now_ms: f64, outcome: AttemptOutcome, hold_ms: f64) -> bool {
         let failed = f64::from(u8::from(outcome == AttemptOutcome::ConnectFailed));
--- a/src/policy/endpoint_set.rs
+++ b/src/policy/endpoint_set.rs
@@ -75,7 +75,7 @@
 enum OperatorOverride {
     /// It is out of service.
     Disabled,
-    /// It was put back at this time, in milliseconds; kept while its slow start lasts.
+    /// It was enabled at this time, in milliseconds; remembered while its slow start lasts.
     EnabledAt(f64),
 }
 
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -1,4 +1,4 @@
-//! What a balancer is told.
+//! The events that a balancer takes.
 
 use super::endpoint::{EndpointId, EndpointSnapshot, EndpointUpdate};
 use super::load_report::LoadReport;
@@ -31,7 +31,7 @@
 
 /// How an attempt or a probe ended.
 ///
-/// All that follows from the way an attempt ended is asked of this type and worked out nowhere else: whether
+/// Everything that follows from how an attempt ended is derived here and nowhere else: whether
 /// the request may have run, where the fault lay, and what the end says of the endpoint.
 ///
 /// | outcome | may have run | fault | counts as failure |
--- a/src/policy/key_frequency.rs
+++ b/src/policy/key_frequency.rs
@@ -9,7 +9,7 @@
 /// Counts fade to a third in this time, in milliseconds: long enough for a node with few requests a second
 /// to meet a hot key again.
 const MEMORY_MS: f64 = 15_000.0;
-/// A share is taken of at least this many requests: it cannot be told from fewer.
+/// A share is taken of at least this many requests: it cannot be estimated from fewer.
 const MIN_EVIDENCE: f64 = 20.0;
 
 /// What a node with sparse traffic takes the share of any key for, in requests of `MIN_EVIDENCE`: most
--- a/src/policy/load_report.rs
+++ b/src/policy/load_report.rs
@@ -34,7 +34,7 @@
 }
 
 impl LoadReport {
-    /// How utilized the endpoint is, 0 to 1: how busy its cores are or, where only the queue is told, the
+    /// How utilized the endpoint is, 0 to 1: how busy its cores are or, where only the queue is reported, the
     /// work in it.
     fn estimated_utilization(&self, latency_objective_ms: f64) -> Option<f64> {
         let by_queue = self.queued.or(self.in_flight).zip(self.latency_ms).map(|(requests, latency_ms)| {
--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -2,7 +2,7 @@
 //!
 //! One outcome feeds several estimates, and some outcomes say nothing of the endpoint: attempts that
 //! the node itself cancelled, timeouts at a short client deadline, failures of one class alone. This
-//! module decides who learns from what; each estimate is kept by its own module.
+//! module decides who learns from what; each estimate has its own module.
 
 use super::action::Action;
 use super::balancer::Balancer;
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -19,7 +19,7 @@
 
 /// Answers after the objective are waited for while admission lets in more than this part of the work.
 const LATE_ANSWERS_ADMISSION_LEVEL: f64 = 0.95;
-/// The objective is taken for no less than this, in milliseconds, where a client is told when to come back.
+/// The objective is taken for no less than this, in milliseconds, where a retry-after time is computed.
 const MIN_OBJECTIVE_MS: f64 = 1.0;
 
 /// How an attempt ended, as the host reports it.
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -81,7 +81,7 @@
 /// Weights of the parts of the operators' service objective.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ObjectiveWeights {
-    /// The value served over the whole run.
+    /// The value served over the entire run.
     pub whole: f64,
     /// The worst stretch of ten seconds.
     pub worst_window: f64,
@@ -102,7 +102,7 @@
     pub cross_zone: f64,
     /// A new connection, per first try.
     pub handshake: f64,
-    /// Connections held open.
+    /// Open connections.
     pub connection: f64,
     /// Value that ended unserved after its objective.
     pub late_fail: f64,
@@ -281,7 +281,7 @@
     Range {
         /// The setting's name.
         field: &'static str,
-        /// What it held.
+        /// Its value.
         value: f64,
     },
 }
