--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -9,7 +9,7 @@
 use crate::frontend::{DrainChange, Frontend, ResumeChange, Stopping};
 use crate::observability::log;
 use crate::snapshot::{OverrideError, Takeover};
-use crate::system::acceptor::{AcceptError, Acceptor};
+use crate::system::acceptor::Acceptor;
 use crate::system::descriptors::Descriptors;
 use crate::system::socket::Socket;
 use std::borrow::Cow;
@@ -105,10 +105,7 @@
                 Ok(stream) => self.serve(stream),
                 Err(error) => {
                     log::line(&format!("console: accept: {error}"));
-                    if matches!(error, AcceptError::OutOfDescriptors) {
-                        self.descriptors.reclaim();
-                    }
-                    acceptor.pause(&error).await;
+                    acceptor.recover(&error, &self.descriptors).await;
                 }
             }
         }
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -210,7 +210,7 @@
         let listen = source.address("listen", Some(LISTEN_VARIABLE))?;
         let discovery = source.address("discovery", Some(DISCOVERY_VARIABLE))?;
         let settings = source.json.get("settings").ok_or(ConfigError::Missing("settings"))?;
-        let (settings, names) = settings_file::read(&settings.to_string())?;
+        let (settings, names) = settings_file::read_value(settings)?;
         Ok(Config {
             name: source.text("name", Some(NAME_VARIABLE))?.unwrap_or_default(),
             listen: listen.ok_or(ConfigError::Missing("listen"))?,
--- a/src/node/driver/attempt.rs
+++ b/src/node/driver/attempt.rs
@@ -5,11 +5,12 @@
 use crate::observability::counters::CounterKind;
 use crate::observability::log;
 use crate::observability::request_trace::WithheldReason;
+use crate::system::clock::span;
 use crate::upstream::{Attempt, AttemptEnd, AttemptResult, UpstreamConnection};
 use std::net::SocketAddr;
 use std::pin::pin;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use wheelpath::policy::{AttemptOutcome, EndpointId, RequestId};
@@ -89,8 +90,8 @@
             endpoint,
             address,
             proxied: open.proxied.clone(),
-            until: begun_at + span(timeout_ms),
-            begin_by: begun_at + span(begin_within_ms),
+            until: begun_at + span(timeout_ms, MAX_SPAN_MS),
+            begin_by: begun_at + span(begin_within_ms, MAX_SPAN_MS),
             begun_at,
         };
         spawn_local(run_attempt(attempt, report, cancelled));
@@ -132,10 +133,6 @@
     }
 }
 
-fn span(ms: f64) -> Duration {
-    Duration::from_secs_f64(ms.clamp(0.0, MAX_SPAN_MS) / 1000.0)
-}
-
 /// Carries an attempt out until it ends or is cancelled. The task that runs this ends by itself, at the
 /// latest with the attempt's timeout and, for a streamed response, with that; the end of the process ends
 /// it too.
--- a/src/node/frontend/listener.rs
+++ b/src/node/frontend/listener.rs
@@ -44,7 +44,10 @@
                     let waited_since = accept_time::first_byte(&stream, acceptor.waited_at_most());
                     self.serve(stream, permit, waited_since);
                 }
-                Err(error) => self.on_accept_error(&acceptor, error).await,
+                Err(error) => {
+                    self.count_rejection(error.text());
+                    acceptor.recover(&error, &self.descriptors).await;
+                }
             }
         }
     }
@@ -69,14 +72,4 @@
             () = self.stop_requested.notified() => AcceptEvent::StopRequested,
         }
     }
-
-    /// An accept that failed may neither end the node nor keep it or its log busy. Only where this process
-    /// has no descriptor left does the close of something idle help.
-    async fn on_accept_error(&self, acceptor: &Acceptor, error: AcceptError) {
-        self.count_rejection(error.text());
-        if matches!(error, AcceptError::OutOfDescriptors) {
-            self.descriptors.reclaim();
-        }
-        acceptor.pause(&error).await;
-    }
 }
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -3,6 +3,7 @@
 
 use crate::config::{Config, ConfigError};
 use crate::observability::log;
+use crate::system::retry::retry;
 use crate::system::signals::SignalReceiver;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,11 +29,6 @@
 }
 
 async fn read_with_retries() -> Result<Config, ConfigError> {
-    for _ in 1..READ_ATTEMPTS {
-        if let Ok(config) = Config::reload() {
-            return Ok(config);
-        }
-        tokio::time::sleep(READ_RETRY_PAUSE).await;
-    }
-    Config::reload()
+    let mut retries = 1..READ_ATTEMPTS;
+    retry(READ_RETRY_PAUSE, Config::reload, |_| retries.next().is_some()).await
 }
--- a/src/node/snapshot/takeover.rs
+++ b/src/node/snapshot/takeover.rs
@@ -10,6 +10,7 @@
 use super::store::{EndpointRecord, OperatorOverrides, ProcessRecord, Records, SnapshotStore};
 use crate::driver::{Driver, DriverEvent};
 use crate::observability::log;
+use crate::system::retry::retry;
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::io;
@@ -157,14 +158,9 @@
         disable: bool,
     ) -> Result<bool, OverrideError> {
         let give_up_at = Instant::now() + OVERRIDE_TIMEOUT;
-        loop {
-            match self.try_set_disabled(driver, endpoint, disable) {
-                Err(_) if Instant::now() + OVERRIDE_RETRY_INTERVAL < give_up_at => {
-                    tokio::time::sleep(OVERRIDE_RETRY_INTERVAL).await;
-                }
-                ended => return ended,
-            }
-        }
+        let attempt = || self.try_set_disabled(driver, endpoint, disable);
+        let is_in_time = |_: &OverrideError| Instant::now() + OVERRIDE_RETRY_INTERVAL < give_up_at;
+        retry(OVERRIDE_RETRY_INTERVAL, attempt, is_in_time).await
     }
 
     fn try_set_disabled(
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -11,6 +11,7 @@
 use crate::reload;
 use crate::snapshot::Takeover;
 use crate::system::acceptor::Acceptor;
+use crate::system::clock::span;
 use crate::system::descriptors::{self, Descriptors};
 use crate::system::inherited_listener::InheritedListenerError;
 use crate::system::listener::{ADMIN_BACKLOG, CLIENT_BACKLOG, listen};
@@ -40,14 +41,12 @@
 const MAX_BUFFER: usize = 64 * 1024;
 /// How often idle connections to endpoints are swept, and the wall clock is observed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// SIGKILL follows SIGTERM by the longest deadline, this at most, and 0.7 s.
-const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
+/// SIGKILL follows SIGTERM by the longest deadline, this at most, in milliseconds, and 0.7 s.
+const MAX_SHUTDOWN_DEADLINE_MS: f64 = 3000.0;
 /// What has no answer shortly before that is failed ...
 const SHUTDOWN_ANSWER_TIME: Duration = Duration::from_millis(400);
 /// ... and these failures are written in this time.
 const SHUTDOWN_WRITE_TIME: Duration = Duration::from_millis(100);
-/// Upper bound for the deadline of a class, in milliseconds.
-const MAX_DEADLINE_MS: f64 = 1e6;
 
 /// Why the node does not start.
 #[derive(Debug, Error)]
@@ -179,8 +178,7 @@
 
 fn longest_deadline(classes: &[RequestClass]) -> Duration {
     let longest_ms = classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
-    let longest = Duration::from_secs_f64(longest_ms.clamp(0.0, MAX_DEADLINE_MS) / 1000.0);
-    longest.min(MAX_SHUTDOWN_DEADLINE)
+    span(longest_ms, MAX_SHUTDOWN_DEADLINE_MS)
 }
 
 /// A running node.
--- a/src/node/system/acceptor.rs
+++ b/src/node/system/acceptor.rs
@@ -1,5 +1,6 @@
 //! Accepts connections, and classifies failures to do so.
 
+use super::descriptors::Descriptors;
 use super::syscall_errors::is_interrupted;
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -115,8 +116,13 @@
         }
     }
 
-    /// Waits until the next accept is worthwhile, after one that failed.
-    pub async fn pause(&self, after: &AcceptError) {
+    /// Waits until the next accept is worthwhile, after one that failed: an accept that fails may neither
+    /// end the node nor keep it busy. Only where this process has no descriptor left does the close of
+    /// something idle help.
+    pub async fn recover(&self, after: &AcceptError, descriptors: &Descriptors) {
+        if matches!(after, AcceptError::OutOfDescriptors) {
+            descriptors.reclaim();
+        }
         let is_worth_trying = matches!(after, AcceptError::Ended)
             && self.consecutive_failures.get() < MAX_FAILURES_WITHOUT_PAUSE;
         if !is_worth_trying {
--- a/src/node/system/clock.rs
+++ b/src/node/system/clock.rs
@@ -17,6 +17,11 @@
 /// Steps that are remembered. Earlier steps are older than any slow start.
 const MAX_PERIODS: usize = 16;
 
+/// A span of so many milliseconds, at most `max_ms`: settings and decisions may state any number.
+pub fn span(ms: f64, max_ms: f64) -> Duration {
+    Duration::from_secs_f64(ms.clamp(0.0, max_ms) / 1000.0)
+}
+
 /// A time in which the difference between the clocks was the same.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Period {
--- a/src/node/system/mod.rs
+++ b/src/node/system/mod.rs
@@ -12,6 +12,7 @@
 pub mod inherited_listener;
 mod length_headers;
 pub mod listener;
+pub mod retry;
 pub mod signals;
 pub mod socket;
 pub mod syscall_errors;
--- a/src/node/system/syscall_errors.rs
+++ b/src/node/system/syscall_errors.rs
@@ -1,5 +1,6 @@
 //! What an error of a system call means: whether it concerns this machine for a moment, or the other side.
 
+use super::retry::retry;
 use std::io;
 use std::time::{Duration, Instant};
 
@@ -36,12 +37,5 @@
 /// The call failed for another reason, or for too long.
 pub async fn retry_transient<T>(call: impl Fn() -> io::Result<T>) -> io::Result<T> {
     let give_up_at = Instant::now() + START_TIMEOUT;
-    loop {
-        match call() {
-            Err(error) if is_transient(&error) && Instant::now() < give_up_at => {
-                tokio::time::sleep(RETRY_PAUSE).await;
-            }
-            done => return done,
-        }
-    }
+    retry(RETRY_PAUSE, call, |error| is_transient(error) && Instant::now() < give_up_at).await
 }
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -225,7 +225,7 @@
 fn begin_stream(connection: UpstreamConnection, head: &Parts, first: Bytes, rest: Incoming) -> AttemptEnd {
     if head.status != StatusCode::OK {
         // Nobody wants the rest of it.
-        return AttemptEnd::Complete(result_of(head, ResponseBody::Buffered(None)), None);
+        return AttemptEnd::Complete(result_of(head, ResponseBody::buffered(Bytes::new())), None);
     }
     let (body, end) = StreamedResponseBody::new(connection, first, rest);
     AttemptEnd::Streaming(result_of(head, ResponseBody::Streamed(Box::new(body))), end)
--- a/src/node/upstream/idle_age.rs
+++ b/src/node/upstream/idle_age.rs
@@ -8,8 +8,8 @@
 
 use std::time::{Duration, Instant};
 
-/// Age classes: one for new connections, then two for each doubling from the youngest age that is distinguished
-/// apart.
+/// Age classes: one for new connections, then two for each doubling from the youngest age that is
+/// distinguished.
 const STEPS: usize = 24;
 const YOUNGEST_MS: f64 = 10.0;
 /// Evidence is half as much after this.
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -17,6 +17,11 @@
 pub use request_body::{MinimumRate, ProxiedRequest, RequestBody, StreamedRequestBody, UpstreamBody};
 pub use response_body::ResponseBody;
 
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::{Body, Frame};
+use std::pin::Pin;
+use std::task::{Context, Poll};
 use thiserror::Error;
 
 /// Bodies up to this many bytes are buffered, and can be sent again; longer ones are passed on as they
@@ -38,3 +43,11 @@
     #[error("nothing more of the body came")]
     Stalled,
 }
+
+/// The next piece of a buffered body, which cannot fail.
+fn poll_buffered(
+    body: &mut Full<Bytes>,
+    cx: &mut Context<'_>,
+) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    Pin::new(body).poll_frame(cx).map_err(|never| match never {})
+}
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -2,6 +2,7 @@
 
 use super::connection::UpstreamConnection;
 use super::idle_age::IdleAgeStatistics;
+use crate::system::clock::span;
 use crate::system::connect::ConnectError;
 use crate::system::descriptors::Descriptors;
 use std::cell::RefCell;
@@ -53,10 +54,6 @@
     buffer: usize,
 }
 
-fn milliseconds(ms: f64) -> Duration {
-    Duration::from_secs_f64(ms.clamp(0.0, MAX_TIMEOUT_MS) / 1000.0)
-}
-
 impl Upstream {
     /// No connections yet. `buffer` is what each reads ahead, in bytes; endpoints close idle ones after
     /// `idle_timeout_ms`.
@@ -69,8 +66,8 @@
         let upstream = Rc::new(Upstream {
             idle: RefCell::default(),
             descriptors: descriptors.clone(),
-            connect_timeout: milliseconds(connect_timeout_ms),
-            idle_timeout: milliseconds(idle_timeout_ms * IDLE_TIMEOUT_PART),
+            connect_timeout: span(connect_timeout_ms, MAX_TIMEOUT_MS),
+            idle_timeout: span(idle_timeout_ms * IDLE_TIMEOUT_PART, MAX_TIMEOUT_MS),
             idle_ages: RefCell::new(IdleAgeStatistics::new()),
             buffer,
         });
--- a/src/node/upstream/request_body.rs
+++ b/src/node/upstream/request_body.rs
@@ -1,8 +1,9 @@
 //! A client's request on its way to an endpoint, with a body that is buffered or streamed.
 
-use super::{BodyError, MAX_BODY};
+use super::{BodyError, MAX_BODY, poll_buffered};
 use crate::headers;
 use bytes::Bytes;
+use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::header::{HOST, HeaderMap, HeaderValue};
 use hyper::{Method, Request, Uri};
@@ -100,9 +101,7 @@
 
     fn upstream_body(&self) -> UpstreamBody {
         match &self.body {
-            RequestBody::Buffered(body) => {
-                UpstreamBody::Buffered(Some(body.clone()).filter(|body| !body.is_empty()))
-            }
+            RequestBody::Buffered(body) => UpstreamBody::Buffered(Full::new(body.clone())),
             RequestBody::Streamed(body) => UpstreamBody::Streamed(body.clone(), Some(body.first.clone())),
         }
     }
@@ -237,8 +236,8 @@
 
 /// A request's body on a connection to an endpoint.
 pub enum UpstreamBody {
-    /// What is left to send of a buffered body.
-    Buffered(Option<Bytes>),
+    /// A buffered body.
+    Buffered(Full<Bytes>),
     /// A streamed body, with its first part if that is still to be sent.
     Streamed(Rc<StreamedRequestBody>, Option<Bytes>),
 }
@@ -246,7 +245,7 @@
 impl UpstreamBody {
     /// No body.
     pub fn empty() -> UpstreamBody {
-        UpstreamBody::Buffered(None)
+        UpstreamBody::Buffered(Full::new(Bytes::new()))
     }
 }
 
@@ -259,9 +258,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let (body, first) = match &mut *self {
-            UpstreamBody::Buffered(bytes) => {
-                return Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))));
-            }
+            UpstreamBody::Buffered(body) => return poll_buffered(body, cx),
             UpstreamBody::Streamed(body, first) => (body, first),
         };
         if let Some(first) = first.take() {
@@ -273,16 +270,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            UpstreamBody::Buffered(bytes) => bytes.is_none(),
+            UpstreamBody::Buffered(body) => body.is_end_stream(),
             UpstreamBody::Streamed(body, first) => first.is_none() && body.completed_at.get().is_some(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            UpstreamBody::Buffered(bytes) => {
-                SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
-            }
+            UpstreamBody::Buffered(body) => body.size_hint(),
             UpstreamBody::Streamed(body, _) => body.length.map_or_else(SizeHint::new, SizeHint::with_exact),
         }
     }
--- a/src/node/upstream/response_body.rs
+++ b/src/node/upstream/response_body.rs
@@ -1,8 +1,9 @@
 //! The body of a response on its way to the client, buffered or streamed.
 
 use super::connection::UpstreamConnection;
-use super::{BodyError, MAX_BODY};
+use super::{BodyError, MAX_BODY, poll_buffered};
 use bytes::Bytes;
+use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::any::Any;
 use std::future::Future;
@@ -22,8 +23,8 @@
 
 /// The body of a response that goes to the client.
 pub enum ResponseBody {
-    /// What is left to send of a buffered body.
-    Buffered(Option<Bytes>),
+    /// A buffered body.
+    Buffered(Full<Bytes>),
     /// One that is passed on as it comes.
     Streamed(Box<StreamedResponseBody>),
 }
@@ -145,7 +146,7 @@
 impl ResponseBody {
     /// A body that is here.
     pub fn buffered(bytes: Bytes) -> ResponseBody {
-        ResponseBody::Buffered(Some(bytes).filter(|bytes| !bytes.is_empty()))
+        ResponseBody::Buffered(Full::new(bytes))
     }
 
     /// More of it is to come.
@@ -171,7 +172,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut *self {
-            ResponseBody::Buffered(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            ResponseBody::Buffered(body) => poll_buffered(body, cx),
             ResponseBody::Streamed(body) => {
                 body.poll_piece(cx).map(|next| next.map(|piece| piece.map(Frame::data)))
             }
@@ -179,14 +180,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, ResponseBody::Buffered(None))
+        matches!(self, ResponseBody::Buffered(body) if body.is_end_stream())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            ResponseBody::Buffered(bytes) => {
-                SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
-            }
+            ResponseBody::Buffered(body) => body.size_hint(),
             ResponseBody::Streamed(body) => body.length.map_or_else(SizeHint::new, |length| {
                 SizeHint::with_exact(length.saturating_sub(body.passed_bytes))
             }),
--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -65,12 +65,19 @@
 /// The text is no JSON object, a key that must be there is absent, or one holds something else than it
 /// should.
 pub fn read(text: &str) -> Result<(Settings, Names), SettingsFileError> {
-    let json: Value =
-        serde_json::from_str(text).map_err(|error| SettingsFileError::NotAnObject(error.to_string()))?;
+    let json = serde_json::from_str(text).map_err(|e| SettingsFileError::NotAnObject(e.to_string()))?;
+    read_value(&json)
+}
+
+/// The same from JSON that is parsed already.
+///
+/// # Errors
+/// As for [`read`].
+pub fn read_value(json: &Value) -> Result<(Settings, Names), SettingsFileError> {
     if !json.is_object() {
         return Err(SettingsFileError::NotAnObject("not an object".to_owned()));
     }
-    let root = Section(&json);
+    let root = Section(json);
     let zones: Vec<String> = root.list("areas")?.iter().map(name_of).collect();
     let classes = root.list("classes")?;
     let names = Names { classes: classes.iter().map(name_of).collect(), zones };
