--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 use wheelpath::policy::Settings;
-use wheelpath::settings_file::{self, Names, SettingsFileError};
+use wheelpath::settings_file::{self, NameIndex, SettingsFileError};
 use wheelpath::stable_hash::stable_hash;
 
 /// Names the configuration's file.
@@ -46,7 +46,7 @@
     /// What the decisions need.
     pub settings: Settings,
     /// Names of classes and zones.
-    pub names: Names,
+    pub names: NameIndex,
 }
 
 /// Why no node can be started from this configuration.
--- a/src/node/discovery/client.rs
+++ b/src/node/discovery/client.rs
@@ -15,7 +15,7 @@
 use thiserror::Error;
 use tokio::time::error::Elapsed;
 use wheelpath::policy::DiscoveryMode;
-use wheelpath::settings_file::Names;
+use wheelpath::settings_file::NameIndex;
 
 /// With polled discovery a watch waits as long as the protocol allows. A change that a silent watch misses
 /// counts as known 2 s after that wait.
@@ -142,14 +142,14 @@
 pub struct DiscoveryClient {
     mode: DiscoveryMode,
     timeouts: CallTimeouts,
-    names: Rc<Names>,
+    names: Rc<NameIndex>,
     descriptors: Rc<Descriptors>,
     connection: Option<UpstreamConnection>,
 }
 
 impl DiscoveryClient {
     /// A client that has made no call.
-    pub fn new(mode: DiscoveryMode, names: Rc<Names>, descriptors: Rc<Descriptors>) -> DiscoveryClient {
+    pub fn new(mode: DiscoveryMode, names: Rc<NameIndex>, descriptors: Rc<Descriptors>) -> DiscoveryClient {
         DiscoveryClient { mode, timeouts: timeouts(mode), names, descriptors, connection: None }
     }
 
--- a/src/node/discovery/endpoint_list.rs
+++ b/src/node/discovery/endpoint_list.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use thiserror::Error;
 use wheelpath::policy::{EndpointId, EndpointState, EndpointUpdate, WatchUpdate};
-use wheelpath::settings_file::Names;
+use wheelpath::settings_file::NameIndex;
 use wheelpath::stable_hash::stable_hash;
 
 /// An entry of the list that cannot be read: the field that is wrong.
@@ -29,7 +29,7 @@
 impl EndpointList {
     /// Reads a list. Entries that cannot be read are logged and skipped: one of them must not hide the
     /// rest. None where this is no list, or no entry can be read.
-    pub fn parse(json: &Value, names: &Names) -> Option<EndpointList> {
+    pub fn parse(json: &Value, names: &NameIndex) -> Option<EndpointList> {
         let version = json.get("rev")?.as_u64()?;
         let is_complete = json.get("all").and_then(Value::as_bool).unwrap_or(false);
         let entries = json.get("targets")?.as_array()?;
@@ -83,7 +83,7 @@
     }
 }
 
-fn parse_entry(entry: &Value, names: &Names) -> Result<DiscoveredEndpoint, EntryError> {
+fn parse_entry(entry: &Value, names: &NameIndex) -> Result<DiscoveredEndpoint, EntryError> {
     let text = |field: &str| entry.get(field).and_then(Value::as_str);
     let name = text("uid").filter(|name| !name.is_empty()).ok_or(EntryError("uid"))?;
     let endpoint = EndpointId(stable_hash(name));
@@ -105,7 +105,7 @@
     }
     let update = EndpointUpdate {
         endpoint,
-        zone: names.zone(text("az")),
+        zone: names.zone_index(text("az")),
         cell: cell as u32,
         state,
         weight: number("capacity_hint", 1.0)?,
--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -24,7 +24,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 use wheelpath::policy::{DiscoveryMode, WatchUpdate};
-use wheelpath::settings_file::Names;
+use wheelpath::settings_file::NameIndex;
 
 /// Time between two calls in parallel to a watch without updates, at most. Even if a call is silent at each
 /// check, the next one is answered before a change counts as known; and the service gets about as many
@@ -79,7 +79,7 @@
     /// How the list arrives.
     pub mode: DiscoveryMode,
     /// Names of zones.
-    pub names: Rc<Names>,
+    pub names: Rc<NameIndex>,
     /// The count of descriptors.
     pub descriptors: Rc<Descriptors>,
     /// The decisions' requests to watch, with polled discovery.
--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -24,7 +24,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use wheelpath::policy::{Idempotency, Request, RequestClass, RequestId};
-use wheelpath::settings_file::Names;
+use wheelpath::settings_file::NameIndex;
 use wheelpath::stable_hash::stable_hash;
 
 /// The decisions end a request this long before the client gives up: the client counts from its send, this
@@ -130,7 +130,7 @@
 
 /// Reads requests.
 pub struct RequestReader {
-    names: Rc<Names>,
+    names: Rc<NameIndex>,
     classes: Vec<RequestClass>,
     trace_ids: OpenTraceIds,
     /// Bytes that all bodies together may still take.
@@ -139,7 +139,7 @@
 
 impl RequestReader {
     /// `memory` is what the bodies of all open requests may take, in bytes.
-    pub fn new(names: Rc<Names>, classes: Vec<RequestClass>, memory: usize) -> RequestReader {
+    pub fn new(names: Rc<NameIndex>, classes: Vec<RequestClass>, memory: usize) -> RequestReader {
         let memory = Arc::new(Semaphore::new(memory.clamp(MAX_BUFFERED_BODY, Semaphore::MAX_PERMITS)));
         RequestReader { names, classes, trace_ids: OpenTraceIds::default(), memory }
     }
@@ -152,7 +152,7 @@
         body: Incoming,
     ) -> Result<ParsedRequest, BadRequest> {
         let trace_id = trace_id(&head)?;
-        let class_index = self.names.class(text(&head, headers::CLASS).unwrap_or_default());
+        let class_index = self.names.class_index(text(&head, headers::CLASS).unwrap_or_default());
         let class = self.classes.get(class_index);
         let class = class.ok_or(BadRequest::malformed("X-Qos names no class\n"))?;
         let length = body_length(&head)?;
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -31,7 +31,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::MissedTickBehavior;
 use wheelpath::policy::{Balancer, RequestClass, Settings, SettingsError, WatchUpdate};
-use wheelpath::settings_file::Names;
+use wheelpath::settings_file::NameIndex;
 
 /// Part of the memory that the bodies of open requests may take, and that the connections' buffers may.
 const BODY_MEMORY_PART: usize = 4;
@@ -287,7 +287,7 @@
 
 /// Reports to the decisions the list that the node starts with; its version, if changes alone tell the
 /// rest.
-fn report_known_list(driver: &Rc<Driver>, known: &Value, names: &Names) -> Option<u64> {
+fn report_known_list(driver: &Rc<Driver>, known: &Value, names: &NameIndex) -> Option<u64> {
     let known = EndpointList::parse(known, names);
     let version = known.as_ref().and_then(EndpointList::base_version);
     let endpoints = known.map_or_else(Vec::new, |known| known.endpoints);
--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -33,20 +33,20 @@
 
 /// The names of classes and zones, by the numbers that the decisions know them by.
 #[derive(Debug, Clone)]
-pub struct Names {
+pub struct NameIndex {
     classes: Vec<String>,
     zones: Vec<String>,
 }
 
-impl Names {
+impl NameIndex {
     /// Index of a class in the settings; `usize::MAX` for one that is not there, which falls under the
     /// strictest rules.
-    pub fn class(&self, name: &str) -> usize {
+    pub fn class_index(&self, name: &str) -> usize {
         index_of(&self.classes, name).unwrap_or(usize::MAX)
     }
 
     /// Number of a zone; unknown ones are all the same foreign one.
-    pub fn zone(&self, name: Option<&str>) -> u16 {
+    pub fn zone_index(&self, name: Option<&str>) -> u16 {
         name.and_then(|name| zone_number(&self.zones, name)).unwrap_or(u16::MAX)
     }
 }
@@ -64,7 +64,7 @@
 /// # Errors
 /// The text is no JSON object, a key that must be there is absent, or one holds something else than it
 /// should.
-pub fn read(text: &str) -> Result<(Settings, Names), SettingsFileError> {
+pub fn read(text: &str) -> Result<(Settings, NameIndex), SettingsFileError> {
     let json = serde_json::from_str(text).map_err(|e| SettingsFileError::NotAnObject(e.to_string()))?;
     read_value(&json)
 }
@@ -73,14 +73,14 @@
 ///
 /// # Errors
 /// As for [`read`].
-pub fn read_value(json: &Value) -> Result<(Settings, Names), SettingsFileError> {
+pub fn read_value(json: &Value) -> Result<(Settings, NameIndex), SettingsFileError> {
     if !json.is_object() {
         return Err(SettingsFileError::NotAnObject("not an object".to_owned()));
     }
     let root = Section(json);
     let zones: Vec<String> = root.list("areas")?.iter().map(name_of).collect();
     let classes = root.list("classes")?;
-    let names = Names { classes: classes.iter().map(name_of).collect(), zones };
+    let names = NameIndex { classes: classes.iter().map(name_of).collect(), zones };
     Ok((read_settings(root, classes, &names.zones)?, names))
 }
 
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -6,7 +6,7 @@
     Action, AttemptOutcome, EndpointId, EndpointState, EndpointUpdate, Event, LoadReport, Request,
     RequestId, WatchUpdate,
 };
-use crate::settings_file::Names;
+use crate::settings_file::NameIndex;
 use crate::stable_hash::stable_hash;
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -14,13 +14,13 @@
 /// The codec of one instance: names as the instance has heard them, numbers as its decisions know them.
 #[derive(Debug)]
 pub struct Codec {
-    names: Names,
+    names: NameIndex,
     endpoints: HashMap<EndpointId, String>,
 }
 
 impl Codec {
     /// A codec for an instance whose settings have these names.
-    pub fn new(names: Names) -> Codec {
+    pub fn new(names: NameIndex) -> Codec {
         Codec { names, endpoints: HashMap::new() }
     }
 
@@ -51,7 +51,7 @@
         };
         Ok(EndpointUpdate {
             endpoint: self.endpoint_of(message)?,
-            zone: self.names.zone(message.get("locality")),
+            zone: self.names.zone_index(message.get("locality")),
             cell,
             state,
             weight: message.optional_number("units")?.unwrap_or(1.0),
@@ -102,7 +102,7 @@
     fn read_request(&self, message: &Message<'_>) -> Result<Request, MessageError> {
         Ok(Request {
             id: RequestId(message.integer("requestId")?),
-            class: self.names.class(message.need("priority")?),
+            class: self.names.class_index(message.need("priority")?),
             key: message.get("nameKey").map(stable_hash),
             deadline_ms: message.number("deadlineMs")?,
             estimated_cost_ms: message.optional_number("effortMs")?,
@@ -181,7 +181,7 @@
     u32::try_from(message.integer(field)?).map_err(|_| MessageError::invalid(field, "too large"))
 }
 
-/// Reads a load report, `name:value` pairs. Names that nobody knows are skipped.
+/// Reads a load report, `name:value` pairs. NameIndex that nobody knows are skipped.
 fn read_load(message: &Message<'_>) -> Result<LoadReport, MessageError> {
     let invalid = |reason: String| MessageError::invalid("pressure", reason);
     let mut report = LoadReport::default();
