--- a/src/load_report_text.rs
+++ b/src/load_report_text.rs
@@ -1,10 +1,12 @@
-//! Load reports as endpoints write them: names and figures, in a header of HTTP or in a field of the
-//! simulator.
+//! Parses the load reports that endpoints send.
+//!
+//! A report is a list of named figures. The node receives it in an HTTP response header, and the simulator
+//! adapter in a field of a message. Each figure has two names, and either is accepted from both sources.
 
 use crate::policy::LoadReport;
 
-/// The figure of a report that goes by this name; none for a name that is not known.
-pub(crate) fn figure_mut<'a>(report: &'a mut LoadReport, name: &str) -> Option<&'a mut Option<f64>> {
+/// Returns the field of a load report for a name that endpoints use. Returns `None` if the name is unknown.
+pub(crate) fn field_mut<'a>(report: &'a mut LoadReport, name: &str) -> Option<&'a mut Option<f64>> {
     Some(match name {
         "rif" | "inflight" => &mut report.in_flight,
         "q" | "queue" => &mut report.queued,
@@ -16,15 +18,17 @@
     })
 }
 
-/// Reads the header of an answer, `TEXT inflight=7, queue=2`. What cannot be read is left out: the report
-/// is advice, and the answer that carries it stands.
-pub fn parse_header(text: &str) -> LoadReport {
+/// Parses the load report header of a response, such as `TEXT inflight=7, queue=2`.
+///
+/// Figures that have an unknown name, or a value that is not a finite number of at least 0, are left out. A
+/// malformed report is not an error: it is advisory, and the response that carries it is still valid.
+pub fn parse_header(header: &str) -> LoadReport {
     let mut report = LoadReport::default();
-    let text = text.trim().trim_start_matches("TEXT");
-    for (name, value) in text.split(',').filter_map(|pair| pair.trim().split_once('=')) {
-        if let Some(figure) = figure_mut(&mut report, name.trim()) {
+    let pairs = header.trim().trim_start_matches("TEXT");
+    for (name, value) in pairs.split(',').filter_map(|pair| pair.trim().split_once('=')) {
+        if let Some(field) = field_mut(&mut report, name.trim()) {
             let value: Option<f64> = value.trim().parse().ok();
-            *figure = value.filter(|value| value.is_finite() && *value >= 0.0);
+            *field = value.filter(|value| value.is_finite() && *value >= 0.0);
         }
     }
     report
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -1,22 +1,26 @@
-//! One line of the protocol, split into its fields.
+//! Splits one line of the simulator's protocol into its fields.
+//!
+//! A line is a message name and its fields, `name field=value field=value`, separated by single spaces. The
+//! order of the fields does not matter. A value contains no spaces, except in a field that is always the
+//! last of its message and runs to the end of the line.
 
 use thiserror::Error;
 
-/// What is wrong with a line, and with which field.
+/// A line that is not a valid message.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// A field is not there.
+    /// A required field is absent; holds its name.
     #[error("field {0}: missing")]
     Missing(&'static str),
-    /// A field cannot be read.
+    /// A field is malformed or holds an invalid value.
     #[error("field {field}: {reason}")]
     Invalid {
-        /// The field.
+        /// Name of the field, or the rest of the line if a field has no `=`.
         field: String,
-        /// Why.
+        /// The fault, to be read after the field's name: "not a number".
         reason: String,
     },
-    /// A message of no known kind.
+    /// The protocol has no message with this name.
     #[error("unknown message {0:?}")]
     UnknownMessage(String),
 }
@@ -27,26 +31,26 @@
     }
 }
 
-/// Fields whose value runs to the end of the line.
+/// Fields whose value may contain spaces and runs to the end of the line.
 const TRAILING_FIELDS: [&str; 2] = ["config", "text"];
 
-/// A field and its value.
+/// A field as it stands in the line.
 #[derive(Debug)]
 struct Field<'a> {
     name: &'a str,
     value: &'a str,
 }
 
-/// A line: the message's name and its fields.
+/// A message, borrowed from its line.
 #[derive(Debug, Default)]
 pub struct Message<'a> {
-    /// The message's name.
+    /// Name of the message, the first word of the line.
     pub name: &'a str,
     fields: Vec<Field<'a>>,
 }
 
 impl<'a> Message<'a> {
-    /// Splits a line.
+    /// Splits a line, given without its line break. Field names and values are not checked.
     ///
     /// # Errors
     /// A field has no `=`.
@@ -54,45 +58,49 @@
         let (name, mut rest) = line.split_once(' ').unwrap_or((line, ""));
         let mut fields = Vec::with_capacity(8);
         while !rest.is_empty() {
-            let (name, after) =
-                rest.split_once('=').ok_or_else(|| MessageError::invalid(rest, "no '='"))?;
+            let (name, remainder) =
+                rest.split_once('=').ok_or_else(|| MessageError::invalid(rest, "'=' is missing"))?;
             let is_trailing = TRAILING_FIELDS.contains(&name);
-            let (value, tail) =
-                if is_trailing { (after, "") } else { after.split_once(' ').unwrap_or((after, "")) };
+            let (value, tail) = if is_trailing {
+                (remainder, "")
+            } else {
+                remainder.split_once(' ').unwrap_or((remainder, ""))
+            };
             fields.push(Field { name, value });
             rest = tail;
         }
         Ok(Message { name, fields })
     }
 
-    /// A field, if it is there.
+    /// Returns the value of a field, or `None` if the field is absent. If a field is repeated, its first
+    /// value counts.
     pub(super) fn get(&self, field: &str) -> Option<&'a str> {
-        self.fields.iter().find(|known| known.name == field).map(|known| known.value)
+        self.fields.iter().find(|candidate| candidate.name == field).map(|found| found.value)
     }
 
-    /// A field that must be there.
+    /// Returns the value of a required field.
     ///
     /// # Errors
-    /// It is not.
-    pub fn need(&self, field: &'static str) -> Result<&'a str, MessageError> {
+    /// The field is absent.
+    pub fn required(&self, field: &'static str) -> Result<&'a str, MessageError> {
         self.get(field).ok_or(MessageError::Missing(field))
     }
 
-    /// A whole number that must be there.
+    /// Reads a required field as a whole number.
     ///
     /// # Errors
-    /// It is not there, or is no whole number.
-    pub fn integer(&self, field: &'static str) -> Result<u64, MessageError> {
-        self.need(field)?.parse().map_err(|_| MessageError::invalid(field, "not a whole number"))
+    /// The field is absent, or its value is not a whole number of up to 64 bits.
+    pub fn required_u64(&self, field: &'static str) -> Result<u64, MessageError> {
+        self.required(field)?.parse().map_err(|_| MessageError::invalid(field, "not a whole number"))
     }
 
-    /// A number that must be there.
-    pub(super) fn number(&self, field: &'static str) -> Result<f64, MessageError> {
-        self.optional_number(field)?.ok_or(MessageError::Missing(field))
+    /// Reads a required field as a finite number.
+    pub(super) fn required_f64(&self, field: &'static str) -> Result<f64, MessageError> {
+        self.optional_f64(field)?.ok_or(MessageError::Missing(field))
     }
 
-    /// A number, if it is there.
-    pub(super) fn optional_number(&self, field: &'static str) -> Result<Option<f64>, MessageError> {
+    /// Reads a field as a finite number. Returns `Ok(None)` if the field is absent.
+    pub(super) fn optional_f64(&self, field: &'static str) -> Result<Option<f64>, MessageError> {
         let Some(text) = self.get(field) else { return Ok(None) };
         match text.parse::<f64>() {
             Ok(number) if number.is_finite() => Ok(Some(number)),
@@ -100,7 +108,7 @@
         }
     }
 
-    /// A flag; absent means no.
+    /// Returns whether a field has the value `1`. An absent field and any other value mean false.
     pub(super) fn flag(&self, field: &'static str) -> bool {
         self.get(field) == Some("1")
     }
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,7 +1,9 @@
-//! The simulator's text protocol, by which many instances of the decisions are played in virtual time.
+//! Connects balancer instances to an external simulator through its text protocol.
 //!
-//! Each line is a message: a name and fields, `name field=value field=value`. [`message`] splits lines,
-//! [`codec`] maps the protocol's names to events and actions, and [`host`] runs the instances.
+//! The simulator runs many nodes in virtual time, together with their clients and endpoints, and needs the
+//! decisions of each node without its sockets and clock. It sends events and receives actions, one message
+//! a line, `name field=value field=value`. [`message`] splits a line into fields, [`codec`] converts messages
+//! to events and actions to messages, and [`host`] reads the input and runs the instances.
 
 pub mod codec;
 pub mod host;
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -1,11 +1,13 @@
-//! The codec: every message, and lines that are cut, reordered or oversized.
+//! Tests of the simulator's codec and of the settings reader: every message and setting, and lines that are
+//! truncated, reordered or oversized.
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use wheelpath::policy::*;
-use wheelpath::settings_file::read as settings;
-use wheelpath::simulator::codec::{Codec, watch_update};
+use wheelpath::settings_file::read as read_settings;
+use wheelpath::simulator::codec::{Codec, parse_watch_update};
 use wheelpath::simulator::message::{Message, MessageError};
 
+/// Valid settings, with keys that the reader does not know.
 const CONFIG: &str = r#"{"areas": ["a", "b"], "zone": "b", "instances": 3, "unknownKey": [1],
  "classes": [{"name": "page", "semantics": "idempotent", "objectiveMs": 300.0, "hardLimitMs": 900.0, "value": 2.0},
              {"name": "bid", "semantics": "deduplicated", "group": "zone", "hardLimitMs": 400.0, "keyTtlMs": 50.0}],
@@ -13,6 +15,7 @@
  "limits": {"attemptsCap": 4, "probing": true},
  "rules": {"coldMs": 20000, "startCapacity": 0.2, "fallMultiple": 3, "fallMs": 2000}}"#;
 
+/// One valid line of each message that is read as an event.
 const LINES: [&str; 7] = [
     "demand who=3 requestId=41 priority=page userGroup=t1 nameKey=k:x deadlineMs=99.5 effortMs=12.0 isRetry=1",
     "result who=3 requestId=41 disposition=done attempt=0 last=1 elapsedMs=18.5 backend=b1 pressure=busy:0.5,q:2",
@@ -23,23 +26,30 @@
     "inbox who=3 sender=2 msg=0aff",
 ];
 
-fn codec() -> Codec {
-    Codec::new(settings(CONFIG).expect("readable settings").1)
+fn new_codec() -> Codec {
+    let (_, names) = read_settings(CONFIG).expect("settings are valid");
+    Codec::new(names)
 }
 
-fn read(codec: &mut Codec, line: &str) -> Result<Event, MessageError> {
+fn read_event(codec: &mut Codec, line: &str) -> Result<Event, MessageError> {
     codec.read_event(&Message::parse(line)?)
 }
 
 #[test]
 fn settings_are_read_with_defaults() {
-    let (s, _) = settings(CONFIG).expect("readable settings");
-    assert_eq!((s.node_count, s.max_attempts, s.discovery), (3, 4, DiscoveryMode::Poll));
-    assert_eq!(s.classes[1].idempotency, Idempotency::WithKey(DeduplicationScope::Zone));
-    assert_eq!(s.classes[1].latency_objective_ms, 400.0, "no aim given: the deadline");
-    assert!(s.probes_allowed && !s.cancellation_allowed);
+    let (settings, _) = read_settings(CONFIG).expect("settings are valid");
     assert_eq!(
-        (s.zone, s.node_index, s.weight_meaning, s.load_reporting),
+        (settings.node_count, settings.max_attempts, settings.discovery),
+        (3, 4, DiscoveryMode::Poll)
+    );
+    assert_eq!(settings.classes[1].idempotency, Idempotency::WithKey(DeduplicationScope::Zone));
+    assert_eq!(
+        settings.classes[1].latency_objective_ms, 400.0,
+        "an absent latency objective is the deadline"
+    );
+    assert!(settings.probes_allowed && !settings.cancellation_allowed);
+    assert_eq!(
+        (settings.zone, settings.node_index, settings.weight_meaning, settings.load_reporting),
         (Some(1), 0, WeightMeaning::None, LoadReporting::None)
     );
 }
@@ -56,107 +66,148 @@
         "reporting": {"via": "probe", "names": ["q"]},
         "rules": {"coldMs": 1, "startCapacity": 0.2, "fallMultiple": 3, "fallMs": 2,
                   "drainGraceMs": 50}}"#;
-    let (s, _) = settings(text).expect("readable settings");
+    let (settings, _) = read_settings(text).expect("settings are valid");
     assert_eq!(
-        (s.zone, s.node_index, s.weight_meaning, s.load_reporting),
+        (settings.zone, settings.node_index, settings.weight_meaning, settings.load_reporting),
         (Some(0), 4, WeightMeaning::Live, LoadReporting::Probes)
     );
     assert_eq!(
-        (s.objective_weights.nines, s.objective_weights.full_at_nines, s.classes[0].objective_stretch),
+        (
+            settings.objective_weights.nines,
+            settings.objective_weights.full_at_nines,
+            settings.classes[0].objective_stretch
+        ),
         (0.2, 2.5, 1.5)
     );
-    assert_eq!((s.peer_messages_allowed, s.max_open_requests, s.max_streams), (true, 10, 2));
-    assert_eq!((s.idle_connection_timeout_ms, s.connect_timeout_ms, s.cpu_us_per_second), (9.0, 8.0, 7.0));
-    let p = s.costs;
-    assert_eq!((p.cross_zone, p.handshake, p.connection, p.late_fail), (0.1, 0.2, 0.3, 0.4));
-    assert_eq!((p.waste, p.probe, p.peer), (0.5, 0.6, 0.7));
-    assert_eq!(s.drain_grace_ms, 50.0);
-    assert_eq!(s.classes[0].idempotency, Idempotency::NotIdempotent, "no semantics given: the strictest");
+    assert_eq!(
+        (settings.peer_messages_allowed, settings.max_open_requests, settings.max_streams),
+        (true, 10, 2)
+    );
+    assert_eq!(
+        (settings.idle_connection_timeout_ms, settings.connect_timeout_ms, settings.cpu_us_per_second),
+        (9.0, 8.0, 7.0)
+    );
+    let costs = settings.costs;
+    assert_eq!(
+        (costs.cross_zone, costs.handshake, costs.connection, costs.late_fail),
+        (0.1, 0.2, 0.3, 0.4)
+    );
+    assert_eq!((costs.waste, costs.probe, costs.peer), (0.5, 0.6, 0.7));
+    assert_eq!(settings.drain_grace_ms, 50.0);
+    assert_eq!(
+        settings.classes[0].idempotency,
+        Idempotency::NotIdempotent,
+        "absent semantics mean not idempotent"
+    );
 }
 
+/// Errors must name the key and end with the value found, so that an operator can correct the settings.
 #[test]
 fn unusable_settings_name_the_field() {
-    let said = |text: &str| settings(text).err().map(|e| e.to_string()).unwrap_or_default();
-    assert!(said("[]").contains("not an object"));
-    assert!(said("{").starts_with("field config"));
-    assert!(said(r#"{"classes": []}"#).contains("config.rules.coldMs: missing"));
-    assert!(said(r#"{"classes": [{"name": "x"}]}"#).contains("config.hardLimitMs"));
-    assert!(said(&CONFIG.replace("\"instances\": 3", "\"instances\": -1")).contains("config.instances"));
-    for (field, value, broken) in [
+    let error_text =
+        |text: &str| read_settings(text).err().map(|error| error.to_string()).unwrap_or_default();
+    assert!(error_text("[]").contains("not an object"));
+    assert!(error_text("{").starts_with("field config"));
+    assert!(error_text(r#"{"classes": []}"#).contains("config.rules.coldMs: missing"));
+    assert!(error_text(r#"{"classes": [{"name": "x"}]}"#).contains("config.hardLimitMs"));
+    assert!(
+        error_text(&CONFIG.replace("\"instances\": 3", "\"instances\": -1")).contains("config.instances")
+    );
+    for (field, value, invalid_config) in [
         ("config.areas", "7", CONFIG.replace(r#"["a", "b"]"#, "7")),
         ("config.zone", "5", CONFIG.replace(r#""zone": "b""#, r#""zone": 5"#)),
         ("config.limits.probing", "\"yes\"", CONFIG.replace("true", "\"yes\"")),
         ("config.rules.coldMs", "\"long\"", CONFIG.replace("20000", "\"long\"")),
     ] {
-        assert!(said(&broken).contains(field), "{field}: {}", said(&broken));
-        assert!(said(&broken).ends_with(value), "{value}: {}", said(&broken));
+        assert!(error_text(&invalid_config).contains(field), "{field}: {}", error_text(&invalid_config));
+        assert!(error_text(&invalid_config).ends_with(value), "{value}: {}", error_text(&invalid_config));
     }
 }
 
 #[test]
 fn every_message_is_read() {
-    let mut n = codec();
-    let Ok(Event::Request(r)) = read(&mut n, LINES[0]) else { panic!("a request") };
-    assert_eq!((r.id, r.class, r.deadline_ms, r.is_retry), (RequestId(41), 0, 99.5, true));
-    let Ok(Event::AttemptEnded { outcome, request_finished, load, .. }) = read(&mut n, LINES[1]) else {
-        panic!("an outcome")
+    let mut codec = new_codec();
+    let Ok(Event::Request(request)) = read_event(&mut codec, LINES[0]) else {
+        panic!("expected a request")
+    };
+    assert_eq!(
+        (request.id, request.class, request.deadline_ms, request.is_retry),
+        (RequestId(41), 0, 99.5, true)
+    );
+    let Ok(Event::AttemptEnded { outcome, request_finished, load, .. }) = read_event(&mut codec, LINES[1])
+    else {
+        panic!("expected the end of an attempt")
     };
     assert_eq!((outcome, request_finished), (AttemptOutcome::Answered, true));
     assert_eq!(load, LoadReport { utilization: Some(0.5), queued: Some(2.0), ..LoadReport::default() });
-    let Ok(Event::ProbeEnded { load, .. }) = read(
-        &mut n,
+    let Ok(Event::ProbeEnded { load, .. }) = read_event(
+        &mut codec,
         "probed who=3 disposition=done backend=b1 pressure=lat_ms:7,rif:3,rate:9,fail_rate:1,odd:x",
     ) else {
-        panic!("a probe's result")
+        panic!("expected the end of a probe")
     };
     let figures = (load.latency_ms, load.in_flight, load.requests_per_second, load.errors_per_second);
     assert_eq!(figures, (Some(7.0), Some(3.0), Some(9.0), Some(1.0)));
-    assert_eq!(read(&mut n, LINES[4]), Ok(Event::Timer(77)));
-    assert_eq!(read(&mut n, LINES[6]), Ok(Event::PeerMessage { from: 2, bytes: vec![10, 255] }));
-    let unknown = read(&mut n, "demand who=3 requestId=1 priority=other deadlineMs=9");
-    assert!(matches!(unknown, Ok(Event::Request(r)) if r.class == usize::MAX));
-    assert_eq!(watch_update("disk"), Ok(WatchUpdate::CachedSnapshot));
+    assert_eq!(read_event(&mut codec, LINES[4]), Ok(Event::Timer(77)));
+    assert_eq!(read_event(&mut codec, LINES[6]), Ok(Event::PeerMessage { from: 2, bytes: vec![10, 255] }));
+    let unknown_class = read_event(&mut codec, "demand who=3 requestId=1 priority=other deadlineMs=9");
+    assert!(matches!(unknown_class, Ok(Event::Request(request)) if request.class == usize::MAX));
+    assert_eq!(parse_watch_update("disk"), Ok(WatchUpdate::CachedSnapshot));
 }
 
 #[test]
 fn fields_come_in_any_order() {
-    let mut n = codec();
+    let mut codec = new_codec();
     for line in LINES {
-        let (name, rest) = line.split_once(' ').expect("fields");
+        let (name, rest) = line.split_once(' ').expect("line has fields");
         let mut parts: Vec<_> = rest.split(' ').collect();
         parts.reverse();
-        assert_eq!(read(&mut n, line), read(&mut n, &format!("{name} {}", parts.join(" "))));
+        assert_eq!(
+            read_event(&mut codec, line),
+            read_event(&mut codec, &format!("{name} {}", parts.join(" ")))
+        );
     }
 }
 
 #[test]
 fn errors_name_what_is_wrong() {
-    let mut n = codec();
-    let said = |n: &mut Codec, l: &str| read(n, l).err().map(|e| e.to_string()).unwrap_or_default();
-    assert_eq!(said(&mut n, "left who=3"), "field requestId: missing");
-    assert_eq!(said(&mut n, "left who=3 requestId=x"), "field requestId: not a whole number");
-    assert!(said(&mut n, "dance who=3").contains("unknown message"));
-    assert!(said(&mut n, "inbox who=3 sender=2 msg=0").contains("not hex"));
-    let outcome = "result who=3 requestId=1 attempt=0 backend=b1 disposition=done";
-    assert!(said(&mut n, &format!("{outcome} pressure=busy")).starts_with("field pressure"));
-    assert!(said(&mut n, &format!("{outcome} pressure=busy:x")).starts_with("field pressure"));
-    assert!(said(&mut n, "demand who=3 requestId=1 priority=page deadlineMs=NaN").contains("deadlineMs"));
+    let mut codec = new_codec();
+    let error_text = |codec: &mut Codec, line: &str| {
+        read_event(codec, line).err().map(|error| error.to_string()).unwrap_or_default()
+    };
+    assert_eq!(error_text(&mut codec, "left who=3"), "field requestId: missing");
+    assert_eq!(error_text(&mut codec, "left who=3 requestId=x"), "field requestId: not a whole number");
+    assert!(error_text(&mut codec, "dance who=3").contains("unknown message"));
+    assert!(error_text(&mut codec, "inbox who=3 sender=2 msg=0").contains("not hex"));
+    let result_line = "result who=3 requestId=1 attempt=0 backend=b1 disposition=done";
+    assert!(error_text(&mut codec, &format!("{result_line} pressure=busy")).starts_with("field pressure"));
+    assert!(
+        error_text(&mut codec, &format!("{result_line} pressure=busy:x")).starts_with("field pressure")
+    );
+    assert!(
+        error_text(&mut codec, "demand who=3 requestId=1 priority=page deadlineMs=NaN")
+            .contains("deadlineMs")
+    );
 }
 
+/// The balancer identifies endpoints by number. The simulator must get back the names that it sent, with the
+/// figures in the format that it expects.
 #[test]
 fn actions_are_written_with_the_received_names() {
-    let mut n = codec();
-    let entry = n
-        .read_endpoint(&Message::parse("backend locality=a health=U backend=b1").expect("a line"))
-        .expect("an entry");
+    let mut codec = new_codec();
+    let entry = codec
+        .read_endpoint(
+            &Message::parse("backend locality=a health=U backend=b1").expect("line is a message"),
+        )
+        .expect("message is an endpoint");
     let mut out = String::new();
     let (id, endpoint) = (RequestId(7), entry.endpoint);
-    n.write_action(
+    codec.write_action(
         3,
         &Action::SendAttempt { id, endpoint, timeout_ms: 80.0, begin_within_ms: f64::INFINITY },
         &mut out,
     );
-    n.write_action(
+    codec.write_action(
         3,
         &Action::Reject {
             id: RequestId(7),
@@ -165,9 +216,9 @@
         },
         &mut out,
     );
-    n.write_action(3, &Action::CloseIdleConnections(entry.endpoint), &mut out);
-    n.write_action(3, &Action::SendPeerMessage { to: None, bytes: vec![104, 10] }, &mut out);
-    n.write_action(3, &Action::SendPeerMessage { to: Some(5), bytes: vec![] }, &mut out);
+    codec.write_action(3, &Action::CloseIdleConnections(entry.endpoint), &mut out);
+    codec.write_action(3, &Action::SendPeerMessage { to: None, bytes: vec![104, 10] }, &mut out);
+    codec.write_action(3, &Action::SendPeerMessage { to: Some(5), bytes: vec![] }, &mut out);
     let lines: Vec<_> = out.lines().collect();
     assert_eq!(lines[2], "release who=3 backend=b1");
     assert_eq!(lines[3], "announce who=3 neighbourId=all msg=680a");
@@ -176,24 +227,30 @@
     assert_eq!(lines[1], "decline who=3 requestId=7 backoffMs=0.000");
 }
 
+/// Guards against a panic on a line that ends at any byte, has noise after it, or is thousands of characters
+/// long, and against settings that are accepted although their JSON is cut off.
 #[test]
 fn truncated_and_malformed_lines_never_panic() {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]));
     let input = (0..LINES.len(), any::<prop::sample::Index>(), "\\PC{0,40}", 0_usize..5000);
     runner
-        .run(&input, |(which, at, noise, pad)| {
-            let mut n = codec();
-            let line = LINES[which];
-            let cut = &line[..at.index(line.len())];
-            for text in [cut.to_owned(), format!("{cut}{noise}"), format!("{line} x={}", "y".repeat(pad))] {
-                let _ = read(&mut n, &text);
+        .run(&input, |(line_index, cut_at, noise, padding_length)| {
+            let mut codec = new_codec();
+            let line = LINES[line_index];
+            let cut = &line[..cut_at.index(line.len())];
+            for text in [
+                cut.to_owned(),
+                format!("{cut}{noise}"),
+                format!("{line} x={}", "y".repeat(padding_length)),
+            ] {
+                let _ = read_event(&mut codec, &text);
             }
-            let padded = read(&mut n, &format!("{line} x={}", "y".repeat(pad)));
+            let padded = read_event(&mut codec, &format!("{line} x={}", "y".repeat(padding_length)));
             prop_assert!(padded.is_ok());
-            let cut = &CONFIG[..at.index(CONFIG.len())];
-            prop_assert!(settings(cut).is_err());
+            let cut = &CONFIG[..cut_at.index(CONFIG.len())];
+            prop_assert!(read_settings(cut).is_err());
             Ok(())
         })
-        .expect("a line that breaks the codec");
+        .expect("the codec handles truncated, malformed and long lines");
 }
