--- a/src/stable_hash.rs
+++ b/src/stable_hash.rs
@@ -1,14 +1,25 @@
-//! The hash by which names of endpoints and keys become numbers.
+//! Hashes the names of endpoints and request keys to the numbers that identify them.
+//!
+//! Nodes must agree on these numbers, and snapshots store them. The hash therefore must not depend on the
+//! process, the build or the release of the standard library, as the standard hasher may.
 
-/// A stable hash of a name, the same at every node and in every build: FNV-1a, then mixed.
+/// Offset basis of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+/// Odd multiplier of the final mixing step.
+const MIX_MULTIPLIER: u64 = 0xd6e8_feb8_6659_fd93;
+
+/// Returns the 64-bit FNV-1a hash of a name, mixed once more by two xor-shifts and a multiplication.
 ///
-/// Nodes have to agree on it, and stored snapshots name endpoints by it, so it must never change.
-pub fn stable_hash(text: &str) -> u64 {
-    let mut hash = 0xcbf2_9ce4_8422_2325_u64;
-    for byte in text.bytes() {
-        hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+/// The result is the same on every node and in every build. It must never change: nodes have to agree on it,
+/// and stored snapshots identify endpoints by it.
+pub fn stable_hash(name: &str) -> u64 {
+    let mut hash = FNV_OFFSET_BASIS;
+    for byte in name.bytes() {
+        hash = (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     }
     hash ^= hash >> 32;
-    hash = hash.wrapping_mul(0xd6e8_feb8_6659_fd93);
+    hash = hash.wrapping_mul(MIX_MULTIPLIER);
     hash ^ (hash >> 32)
 }
