--- a/src/bin/wheelpath-simulator-adapter.rs
+++ b/src/bin/wheelpath-simulator-adapter.rs
@@ -1,4 +1,7 @@
-//! Hosts instances of the balancer on the simulator's protocol, from standard input to standard output.
+//! Runs balancer instances for an external simulator.
+//!
+//! Reads the simulator's messages from standard input and writes the balancers' actions to standard output,
+//! until the input ends. Exits with status 2 and a message on standard error if a line cannot be processed.
 
 use std::process::ExitCode;
 use wheelpath::simulator::host;
