--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -1,8 +1,8 @@
 //! Converts messages of the simulator's protocol to events, and actions of the balancer to messages.
 //!
-//! The protocol has its own names for events, fields and states, and calls endpoints by name. The balancer
-//! works on the types of [`crate::policy`], which identify an endpoint by a number. The codec hashes each
-//! endpoint name to that number and remembers the name, so that it can write it in actions.
+//! The protocol has its own names for events, fields and states, and identifies endpoints by name. The
+//! balancer uses the types of [`crate::policy`], which identify an endpoint by a number. The codec hashes each
+//! endpoint name to that number, and remembers the name to write it in actions.
 
 use super::message::{Message, MessageError};
 use crate::load_report_text::field_mut;
@@ -216,7 +216,7 @@
     Ok(report)
 }
 
-/// Writes bytes as hexadecimal digits, and an empty list as `-`.
+/// Writes bytes as pairs of hexadecimal digits, or as `-` if there are none.
 fn encode_hex(bytes: &[u8]) -> String {
     if bytes.is_empty() {
         return "-".to_owned();
@@ -228,7 +228,7 @@
     })
 }
 
-/// Reverses [`encode_hex`].
+/// Reads bytes that [`encode_hex`] has written.
 fn decode_hex(text: &str) -> Result<Vec<u8>, MessageError> {
     if text == "-" {
         return Ok(Vec::new());
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -1,8 +1,8 @@
 //! Splits one line of the simulator's protocol into its fields.
 //!
-//! A line is a message name and its fields, `name field=value field=value`, separated by single spaces. The
-//! order of the fields does not matter. A value contains no spaces, except in a field that is always the
-//! last of its message and runs to the end of the line.
+//! A line is a message name and its fields, `name field=value field=value`, separated by single spaces.
+//! Fields come in any order, and values contain no spaces. The exceptions are `config` and `text`: each is the
+//! last field of its message, and its value runs to the end of the line, spaces included.
 
 use thiserror::Error;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Fields whose value may contain spaces and runs to the end of the line.
+/// Fields whose value runs to the end of the line and may contain spaces.
 const TRAILING_FIELDS: [&str; 2] = ["config", "text"];
 
 /// A field as it stands in the line.
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -35,6 +35,7 @@
     codec.read_event(&Message::parse(line)?)
 }
 
+/// Guards against a reader that rejects unknown keys, or that has a wrong default for an absent one.
 #[test]
 fn settings_are_read_with_defaults() {
     let (settings, _) = read_settings(CONFIG).expect("settings are valid");
@@ -54,6 +55,7 @@
     );
 }
 
+/// Guards against a setting that is read from another key or from none, and so keeps its default.
 #[test]
 fn every_setting_is_read() {
     let text = r#"{"areas": ["a"], "zone": "a", "slotNo": 4, "weights": "live", "worthBy": "work",
@@ -124,6 +126,8 @@
     }
 }
 
+/// Guards against a field that is read from another name, and against a load report or a class whose unknown
+/// names are errors.
 #[test]
 fn every_message_is_read() {
     let mut codec = new_codec();
@@ -155,6 +159,7 @@
     assert_eq!(parse_watch_update("disk"), Ok(WatchUpdate::CachedSnapshot));
 }
 
+/// The protocol does not fix the order of fields, so the same fields in reverse must give the same event.
 #[test]
 fn fields_come_in_any_order() {
     let mut codec = new_codec();
@@ -169,6 +174,7 @@
     }
 }
 
+/// Without the field's name, a fault in a line of thousands cannot be found.
 #[test]
 fn errors_name_what_is_wrong() {
     let mut codec = new_codec();
