--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -22,7 +22,8 @@
     /// A line of the input cannot be processed.
     #[error("line {line}: {cause}")]
     Line {
-        /// Number of the line in the input, from 1. For an `update`, the last line read of its list.
+        /// Number of the line in the input, from 1. For an `update`, the line of its
+        /// list at which the fault was found.
         line: u64,
         /// The reason.
         cause: LineError,
@@ -127,7 +128,7 @@
             let line = lines.read_list_entry()?;
             let entry = Message::parse(line.trim_end())?;
             if entry.name != "backend" {
-                let reason = format!("expected {count} lines \"backend\", found {:?}", entry.name);
+                let reason = format!("expected {count} \"backend\" lines, found {:?}", entry.name);
                 return Err(MessageError::invalid("elements", reason).into());
             }
             if let Some(instance) = self.instances.get_mut(&instance_id) {
