--- a/fault-soak/src/client.rs
+++ b/fault-soak/src/client.rs
@@ -1,7 +1,12 @@
-//! Clients: each sends requests to one node after another, reuses connections, and now and then misbehaves.
+//! Simulates the clients of the nodes.
+//!
+//! Each client sends one request at a time, mostly to its own node, and reuses connections. Like real clients, some
+//! of them write a request in two pieces, close the connection before the response, send only a part of a request,
+//! or hold an idle connection. Clients connect only to nodes that are in rotation, as if a front-end load balancer
+//! chose the nodes for them.
 
 use crate::http::{Message, ReadError};
-use crate::record::{ClientAnswer, ClientRequest, ConnectionClose, Record, Rule};
+use crate::record::{ClientRequest, ClientResponse, ConnectionClose, Record, Rule};
 use crate::settings::RequestClass;
 use fastrand::Rng;
 use std::collections::HashMap;
@@ -13,46 +18,48 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// How long after its time an answer is still waited for, to tell a late one from none.
-const OVERTIME: Duration = Duration::from_millis(1500);
-/// A malformed client gets an error or a close within this, in seconds.
-const MALFORMED_LIMIT: f64 = 3.0;
-/// So much longer until that counts as a violation here, in seconds.
-const MALFORMED_SLACK: f64 = 0.35;
-/// A malformed client waits so much longer than it should have to, in seconds.
-const MALFORMED_OVERTIME: f64 = 2.0;
-/// One in so many requests comes in two pieces, so far apart at most.
-const IN_PIECES: u32 = 8;
-const MAX_PIECE_PAUSE: Duration = Duration::from_millis(400);
-/// For how long an idle client stays.
-const IDLE_TIME: Duration = Duration::from_secs(10);
-/// Of ten requests, those that go to the client's own node, and those that may reuse a connection.
-const HOME_IN_TEN: u32 = 8;
-const KEEP_ALIVE_IN_TEN: u32 = 9;
-/// A client that leaves early does so within this part of its time.
-const EARLY_LEAVE_PART: f64 = 0.3;
-/// Objects that requests are about.
-const OBJECTS: u64 = 200;
+/// How long after its timeout a client still waits for a response, to tell a late response from a missing one.
+const LATE_RESPONSE_WAIT: Duration = Duration::from_millis(1500);
+/// The time within which a client that sent only a part of a request must get an error or a close.
+const PARTIAL_REQUEST_LIMIT_SECONDS: f64 = 3.0;
+/// How far `PARTIAL_REQUEST_LIMIT_SECONDS` may be exceeded before that is recorded as a violation.
+const PARTIAL_REQUEST_SLACK_SECONDS: f64 = 0.35;
+/// How long after `PARTIAL_REQUEST_LIMIT_SECONDS` the client still waits before it closes the connection.
+const PARTIAL_REQUEST_EXTRA_WAIT_SECONDS: f64 = 2.0;
+/// One in this many requests is written in two pieces.
+const SPLIT_WRITE_ONE_IN: u32 = 8;
+/// The longest pause between the two pieces of a request.
+const MAX_SPLIT_WRITE_PAUSE: Duration = Duration::from_millis(400);
+/// How long a client holds an idle connection if the node does not close it.
+const IDLE_CONNECTION_TIME: Duration = Duration::from_secs(10);
+/// Of ten requests, how many a client sends to its own node; the others go to a random one.
+const OWN_NODE_IN_TEN: u32 = 8;
+/// Of ten requests, how many reuse a connection if one is open.
+const REUSE_IN_TEN: u32 = 9;
+/// A client that abandons a request does so within this part of its timeout.
+const MAX_ABANDON_FRACTION: f64 = 0.3;
+/// The number of distinct objects in the `X-Object` headers.
+const OBJECT_COUNT: u64 = 200;
 
-/// What the front knows of a node.
+/// A node as a front-end load balancer sees it.
 #[derive(Debug)]
-pub struct FrontEntry {
-    /// Where clients connect.
+pub struct NodeEntry {
+    /// The address on which the node accepts clients.
     pub address: SocketAddr,
-    /// New connections go there.
-    pub open: AtomicBool,
+    /// Whether clients open new connections to the node.
+    pub in_rotation: AtomicBool,
 }
 
-/// All clients.
+/// The state that all clients share.
 pub struct Clients {
-    /// The nodes.
-    pub entries: Vec<FrontEntry>,
-    /// Pauses between requests are this part of what they are usually, in hundredths.
-    pub pace: AtomicU64,
-    /// How many of a hundred requests are left by their clients.
-    pub leaving: AtomicU64,
-    /// No more requests are sent.
-    pub over: AtomicBool,
+    /// The nodes, by index.
+    pub nodes: Vec<NodeEntry>,
+    /// The pauses between the requests of a client, in percent of the usual ones; set by faults.
+    pub pause_percent: AtomicU64,
+    /// The share of requests that clients abandon before the response, in percent; set by faults.
+    pub abandon_percent: AtomicU64,
+    /// Whether the run is over, so that clients send no more requests.
+    pub stopped: AtomicBool,
     next_id: AtomicU64,
     record: Arc<Record>,
     seed: u64,
@@ -61,170 +68,190 @@
 /// A connection to a node.
 struct Connection {
     stream: BufReader<TcpStream>,
+    /// Whether the client has received no response on it yet.
     is_new: bool,
 }
 
-/// What became of a request.
-enum RequestEnd {
-    /// The connection may be used again.
-    KeepAlive(Connection),
-    /// It is over, one way or another.
-    Over,
-    /// The node ended a reused connection before it read the request, as far as the client can tell.
-    CrossedClose,
-    /// There was no connection.
-    NoConnection,
+/// The outcome of a request, as far as it matters to the next one.
+enum RequestOutcome {
+    /// The response is complete, and the connection can be reused.
+    Reusable(Connection),
+    /// The request has ended, with or without a response, and its connection cannot be reused.
+    Ended,
+    /// The node closed a reused connection without a response, so that it may not have read the request.
+    ReusedConnectionClosed,
+    /// The node is not in rotation, or the connection could not be established.
+    NotConnected,
 }
 
-/// How the writing of a request ended.
+/// The outcome of writing a request.
 enum WriteOutcome {
-    /// With its last byte.
+    /// All bytes were written.
     Complete,
-    /// The node ended the connection, or answered, between its two pieces.
-    EndedBetweenPieces,
+    /// The node closed the connection, or responded, between the two pieces of a request.
+    Interrupted,
 }
 
-/// A client's request.
+/// The parameters of a request to send.
 #[derive(Clone, Copy)]
-struct Demand {
+struct RequestParameters {
     node: usize,
     class: RequestClass,
     timeout: Duration,
 }
 
-/// As far as the client can tell, the node has not ended it, and has said nothing on it.
-fn is_open(stream: &TcpStream) -> bool {
+/// Whether the connection is open and has no unread bytes, as far as the client can tell.
+fn is_open_and_quiet(stream: &TcpStream) -> bool {
     matches!(stream.try_read(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
 impl Clients {
-    /// Clients of these nodes, whose front lets nobody in yet.
+    /// Creates the clients of the nodes at these addresses. No node is in rotation yet.
     pub fn new(nodes: Vec<SocketAddr>, record: Arc<Record>, seed: u64) -> Arc<Clients> {
-        let entry = |address| FrontEntry { address, open: AtomicBool::new(false) };
+        let entry = |address| NodeEntry { address, in_rotation: AtomicBool::new(false) };
         Arc::new(Clients {
-            entries: nodes.into_iter().map(entry).collect(),
-            pace: AtomicU64::new(100),
-            leaving: AtomicU64::new(3),
-            over: AtomicBool::new(false),
+            nodes: nodes.into_iter().map(entry).collect(),
+            pause_percent: AtomicU64::new(100),
+            abandon_percent: AtomicU64::new(3),
+            stopped: AtomicBool::new(false),
             next_id: AtomicU64::new(seed << 32 | 1),
             record,
             seed,
         })
     }
 
-    fn is_entry_open(&self, node: usize) -> bool {
-        self.entries[node].open.load(Ordering::SeqCst)
+    fn is_in_rotation(&self, node: usize) -> bool {
+        self.nodes[node].in_rotation.load(Ordering::SeqCst)
     }
 
-    /// Connects to a node, if the front sends clients there.
+    /// Connects to a node. Returns `None` if the node is not in rotation or the connection fails.
     async fn connect(&self, node: usize) -> Option<TcpStream> {
-        if !self.is_entry_open(node) {
+        if !self.is_in_rotation(node) {
             return None;
         }
-        TcpStream::connect(self.entries[node].address).await.ok()
+        TcpStream::connect(self.nodes[node].address).await.ok()
     }
 
-    /// One client, until there is nothing more to ask. `mean` is the time between its requests.
-    pub async fn run(self: Arc<Self>, number: u64, mean: Duration) {
+    /// Runs one client until `stopped` is set. `mean_pause` is the usual mean of the exponentially distributed
+    /// pauses before its requests.
+    pub async fn run_client(self: Arc<Self>, number: u64, mean_pause: Duration) {
         let mut rng = Rng::with_seed(self.seed << 20 ^ number);
-        let mut kept: HashMap<usize, Connection> = HashMap::new();
-        let home = number as usize % self.entries.len();
-        while !self.over.load(Ordering::SeqCst) {
-            let pace = self.pace.load(Ordering::SeqCst) as f64 / 100.0;
-            tokio::time::sleep(mean.mul_f64(pace * -rng.f64().max(1e-6).ln())).await;
-            let node =
-                if rng.u32(..10) >= 10 - HOME_IN_TEN { home } else { rng.usize(..self.entries.len()) };
-            let reusable = |connection: &Connection| {
-                is_open(connection.stream.get_ref()) && rng.u32(..10) >= 10 - KEEP_ALIVE_IN_TEN
+        let mut idle_connections: HashMap<usize, Connection> = HashMap::new();
+        let own_node = number as usize % self.nodes.len();
+        while !self.stopped.load(Ordering::SeqCst) {
+            let pause_factor = self.pause_percent.load(Ordering::SeqCst) as f64 / 100.0;
+            tokio::time::sleep(mean_pause.mul_f64(pause_factor * -rng.f64().max(1e-6).ln())).await;
+            let node = if rng.u32(..10) >= 10 - OWN_NODE_IN_TEN {
+                own_node
+            } else {
+                rng.usize(..self.nodes.len())
             };
-            let used = kept.remove(&node).filter(reusable);
+            let is_reused = |connection: &Connection| {
+                is_open_and_quiet(connection.stream.get_ref()) && rng.u32(..10) >= 10 - REUSE_IN_TEN
+            };
+            let reused = idle_connections.remove(&node).filter(is_reused);
             let class = RequestClass::ALL[rng.usize(..RequestClass::ALL.len())];
-            let timeout = class.limit().mul_f64(0.5 + 0.5 * rng.f64());
-            let demand = Demand { node, class, timeout };
-            match self.ask(&mut rng, used, demand).await {
-                RequestEnd::KeepAlive(connection) => drop(kept.insert(node, connection)),
-                RequestEnd::CrossedClose => self.ask_again(&mut rng, demand).await,
-                RequestEnd::Over | RequestEnd::NoConnection => {}
+            let timeout = class.max_timeout().mul_f64(0.5 + 0.5 * rng.f64());
+            let parameters = RequestParameters { node, class, timeout };
+            match self.send_request(&mut rng, reused, parameters).await {
+                RequestOutcome::Reusable(connection) => drop(idle_connections.insert(node, connection)),
+                RequestOutcome::ReusedConnectionClosed => self.retry(&mut rng, parameters).await,
+                RequestOutcome::Ended | RequestOutcome::NotConnected => {}
             }
         }
     }
 
-    /// A request that crossed the end of a connection is sent once more, on a new one.
-    async fn ask_again(&self, rng: &mut Rng, demand: Demand) {
-        let open: Vec<usize> = (0..self.entries.len()).filter(|node| self.is_entry_open(*node)).collect();
-        if !open.is_empty() {
-            let node = open[rng.usize(..open.len())];
-            let _ = self.ask(rng, None, Demand { node, ..demand }).await;
+    /// Sends a request once more, with a new id, on a new connection to a random node in rotation.
+    async fn retry(&self, rng: &mut Rng, parameters: RequestParameters) {
+        let candidates: Vec<usize> =
+            (0..self.nodes.len()).filter(|node| self.is_in_rotation(*node)).collect();
+        if !candidates.is_empty() {
+            let node = candidates[rng.usize(..candidates.len())];
+            let _ = self.send_request(rng, None, RequestParameters { node, ..parameters }).await;
         }
     }
 
-    async fn ask(&self, rng: &mut Rng, used: Option<Connection>, demand: Demand) -> RequestEnd {
-        let mut connection = match used {
+    /// Sends a request, on a new connection if there is none to reuse, and records its outcome.
+    async fn send_request(
+        &self,
+        rng: &mut Rng,
+        reused: Option<Connection>,
+        parameters: RequestParameters,
+    ) -> RequestOutcome {
+        let mut connection = match reused {
             Some(connection) => connection,
-            None => match self.connect(demand.node).await {
+            None => match self.connect(parameters.node).await {
                 Some(stream) => {
                     let _ = stream.set_nodelay(true);
                     Connection { stream: BufReader::new(stream), is_new: true }
                 }
-                None => return RequestEnd::NoConnection,
+                None => return RequestOutcome::NotConnected,
             },
         };
-        let Demand { node, class, timeout } = demand;
+        let RequestParameters { node, class, timeout } = parameters;
         let id = self.next_id.fetch_add(1, Ordering::SeqCst);
-        let bytes = request(id, class, timeout, rng.u64(..OBJECTS));
-        // What is known of it must be there before a server can have it.
-        let new_connection = connection.is_new;
-        self.record_request(id, ClientRequest { new_connection, ..self.new_request(node, class, timeout) });
-        match write(rng, connection.stream.get_mut(), &bytes).await {
+        let bytes = request_bytes(id, class, timeout, rng.u64(..OBJECT_COUNT));
+        // The record must have the request before a server can receive it.
+        let on_new_connection = connection.is_new;
+        self.record_request(
+            id,
+            ClientRequest { on_new_connection, ..self.new_request(node, class, timeout) },
+        );
+        match write_request(rng, connection.stream.get_mut(), &bytes).await {
             Ok(WriteOutcome::Complete) => {}
-            Ok(WriteOutcome::EndedBetweenPieces) => {
-                // It never was a request.
+            Ok(WriteOutcome::Interrupted) => {
+                // The request was never complete, so the node owes no response.
                 self.record.requests.lock().unwrap().remove(&id);
-                return RequestEnd::Over;
+                return RequestOutcome::Ended;
             }
-            Err(_) => return self.closed(id, &connection, false),
+            Err(_) => return self.record_close(id, &connection, false),
         }
-        self.change_request(id, |request, now| request.sent_at = now);
-        self.await_answer(rng, id, connection, timeout).await
+        self.update_request(id, |request, now| request.sent_at = now);
+        self.await_response(rng, id, connection, timeout).await
     }
 
-    async fn await_answer(
+    /// Waits for the response to a request, or abandons the request early, and records what happened.
+    async fn await_response(
         &self,
         rng: &mut Rng,
         id: u64,
         mut connection: Connection,
         timeout: Duration,
-    ) -> RequestEnd {
-        let leaves = rng.u64(..100) < self.leaving.load(Ordering::SeqCst);
-        let patience =
-            if leaves { timeout.mul_f64(rng.f64() * EARLY_LEAVE_PART) } else { timeout + OVERTIME };
+    ) -> RequestOutcome {
+        let abandons = rng.u64(..100) < self.abandon_percent.load(Ordering::SeqCst);
+        let wait = if abandons {
+            timeout.mul_f64(rng.f64() * MAX_ABANDON_FRACTION)
+        } else {
+            timeout + LATE_RESPONSE_WAIT
+        };
         let read = Message::read(&mut connection.stream, || {});
-        match tokio::time::timeout(patience, read).await {
+        match tokio::time::timeout(wait, read).await {
             Ok(Ok(message)) => {
-                self.answered(id, &message);
+                self.record_response(id, &message);
                 let closes = message.header("connection") == Some("close");
                 connection.is_new = false;
-                if closes { RequestEnd::Over } else { RequestEnd::KeepAlive(connection) }
+                if closes { RequestOutcome::Ended } else { RequestOutcome::Reusable(connection) }
             }
-            Ok(Err(error)) => self.closed(id, &connection, matches!(error, ReadError::Midway)),
+            Ok(Err(error)) => self.record_close(id, &connection, matches!(error, ReadError::Incomplete)),
             Err(_) => {
                 drop(connection);
-                self.change_request(id, |request, now| request.left_at = Some(now));
-                RequestEnd::Over
+                self.update_request(id, |request, now| request.abandoned_at = Some(now));
+                RequestOutcome::Ended
             }
         }
     }
 
+    /// A request that is sent now and has no outcome yet.
     fn new_request(&self, node: usize, class: RequestClass, timeout: Duration) -> ClientRequest {
         ClientRequest {
             class,
             node,
             sent_at: self.record.now(),
-            timeout: timeout.as_secs_f64(),
-            new_connection: false,
-            left_at: None,
-            answer: None,
-            closed: None,
+            timeout_seconds: timeout.as_secs_f64(),
+            on_new_connection: false,
+            abandoned_at: None,
+            response: None,
+            connection_close: None,
         }
     }
 
@@ -232,70 +259,82 @@
         self.record.requests.lock().unwrap().insert(id, request);
     }
 
-    /// Changes what is known of a request, by what is seen just now.
-    fn change_request(&self, id: u64, change: impl FnOnce(&mut ClientRequest, f64)) {
+    /// Updates the record of a request. `update` gets the current time in seconds since the start of the record.
+    fn update_request(&self, id: u64, update: impl FnOnce(&mut ClientRequest, f64)) {
         let now = self.record.now();
         if let Some(request) = self.record.requests.lock().unwrap().get_mut(&id) {
-            change(request, now);
+            update(request, now);
         }
     }
 
-    fn answered(&self, id: u64, message: &Message) {
+    fn record_response(&self, id: u64, message: &Message) {
         let status = message.status();
         let body = String::from_utf8_lossy(&message.body).into_owned();
-        self.change_request(id, |request, at| request.answer = Some(ClientAnswer { at, status, body }));
+        self.update_request(id, |request, at| request.response = Some(ClientResponse { at, status, body }));
     }
 
-    /// The node ended the connection of a request with no complete answer.
-    fn closed(&self, id: u64, connection: &Connection, within_answer: bool) -> RequestEnd {
-        self.change_request(id, |request, at| request.closed = Some(ConnectionClose { at, within_answer }));
-        if connection.is_new || within_answer { RequestEnd::Over } else { RequestEnd::CrossedClose }
+    /// Records that the node ended the connection of a request before the response was complete.
+    fn record_close(&self, id: u64, connection: &Connection, mid_response: bool) -> RequestOutcome {
+        self.update_request(id, |request, at| {
+            request.connection_close = Some(ConnectionClose { at, mid_response })
+        });
+        if connection.is_new || mid_response {
+            RequestOutcome::Ended
+        } else {
+            RequestOutcome::ReusedConnectionClosed
+        }
     }
 
-    /// Half a request that stays: it must get an error or a close.
-    pub async fn half_request(self: Arc<Self>, node: usize, seed: u64) {
+    /// Sends a part of a request and keeps the connection open. The node must answer with an error or a close in
+    /// time; otherwise a violation is recorded.
+    pub async fn send_partial_request(self: Arc<Self>, node: usize, seed: u64) {
         let mut rng = Rng::with_seed(seed);
         let Some(mut stream) = self.connect(node).await else { return };
         let connected_at = self.record.now();
-        let bytes = request(u64::MAX - seed, RequestClass::Bid, Duration::from_secs(1), 1);
-        let part = rng.usize(..bytes.len() - 1);
-        if stream.write_all(&bytes[..part]).await.is_err() {
+        let bytes = request_bytes(u64::MAX - seed, RequestClass::Bid, Duration::from_secs(1), 1);
+        let length = rng.usize(..bytes.len() - 1);
+        if stream.write_all(&bytes[..length]).await.is_err() {
             return;
         }
-        let limit = Duration::from_secs_f64(MALFORMED_LIMIT + MALFORMED_OVERTIME);
+        let limit =
+            Duration::from_secs_f64(PARTIAL_REQUEST_LIMIT_SECONDS + PARTIAL_REQUEST_EXTRA_WAIT_SECONDS);
         let mut byte = [0];
-        let ended = tokio::time::timeout(limit, stream.read(&mut byte)).await;
-        let took = self.record.now() - connected_at;
+        let reaction = tokio::time::timeout(limit, stream.read(&mut byte)).await;
+        let elapsed = self.record.now() - connected_at;
         let stall = self.record.longest_stall(connected_at, self.record.now());
-        if ended.is_err() || took > MALFORMED_LIMIT + MALFORMED_SLACK + stall {
-            let what = format!("node {node}: half a request ({part} bytes) got nothing for {took:.2} s");
-            self.record.record_violation(Rule::Rude, what);
+        if reaction.is_err()
+            || elapsed > PARTIAL_REQUEST_LIMIT_SECONDS + PARTIAL_REQUEST_SLACK_SECONDS + stall
+        {
+            let description = format!(
+                "node {node}: a partial request ({length} bytes) got neither an error nor a close for {elapsed:.2} s"
+            );
+            self.record.record_violation(Rule::MalformedRequest, description);
         }
     }
 
-    /// Several requests in one write; each gets its answer or, behind one that ends the connection,
-    /// nothing.
-    pub async fn pipeline(self: Arc<Self>, node: usize, count: usize) {
+    /// Sends several requests in one write. Each must get its own response, unless an earlier one ended the
+    /// connection.
+    pub async fn send_pipelined_requests(self: Arc<Self>, node: usize, count: usize) {
         let Some(mut stream) = self.connect(node).await else { return };
         let class = RequestClass::View;
         let first = self.next_id.fetch_add(count as u64, Ordering::SeqCst);
         let ids = first..first + count as u64;
         let mut bytes = Vec::new();
         for id in ids.clone() {
-            bytes.extend(request(id, class, class.limit(), id % 50));
-            // Each waits for those before it.
-            self.record_request(id, self.new_request(node, class, class.limit() * count as u32));
+            bytes.extend(request_bytes(id, class, class.max_timeout(), id % 50));
+            // Each response waits for those before it.
+            self.record_request(id, self.new_request(node, class, class.max_timeout() * count as u32));
         }
         let _ = stream.write_all(&bytes).await;
         let mut stream = BufReader::new(stream);
         for id in ids {
             let read = Message::read(&mut stream, || {});
-            match tokio::time::timeout(class.limit() + OVERTIME, read).await {
-                Ok(Ok(message)) => self.answered(id, &message),
+            match tokio::time::timeout(class.max_timeout() + LATE_RESPONSE_WAIT, read).await {
+                Ok(Ok(message)) => self.record_response(id, &message),
                 Ok(Err(error)) => {
-                    let within_answer = matches!(error, ReadError::Midway);
-                    self.change_request(id, |request, at| {
-                        request.closed = Some(ConnectionClose { at, within_answer });
+                    let mid_response = matches!(error, ReadError::Incomplete);
+                    self.update_request(id, |request, at| {
+                        request.connection_close = Some(ConnectionClose { at, mid_response });
                     });
                 }
                 Err(_) => return,
@@ -303,31 +342,31 @@
         }
     }
 
-    /// A connection without requests, until the node ends it.
-    pub async fn idle(self: Arc<Self>, node: usize) {
+    /// Opens a connection, sends nothing, and holds it until the node closes it or `IDLE_CONNECTION_TIME` is over.
+    pub async fn hold_idle_connection(self: Arc<Self>, node: usize) {
         let Some(mut stream) = self.connect(node).await else { return };
         let mut byte = [0];
-        let _ = tokio::time::timeout(IDLE_TIME, stream.read(&mut byte)).await;
+        let _ = tokio::time::timeout(IDLE_CONNECTION_TIME, stream.read(&mut byte)).await;
     }
 }
 
-/// Writes a request, now and then in two pieces with a pause between them.
-async fn write(rng: &mut Rng, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<WriteOutcome> {
-    if rng.u32(..IN_PIECES) > 0 {
+/// Writes a request; one in `SPLIT_WRITE_ONE_IN` is written in two pieces with a pause between them.
+async fn write_request(rng: &mut Rng, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<WriteOutcome> {
+    if rng.u32(..SPLIT_WRITE_ONE_IN) > 0 {
         stream.write_all(bytes).await?;
         return Ok(WriteOutcome::Complete);
     }
     let (first, rest) = bytes.split_at(rng.usize(1..bytes.len()));
     stream.write_all(first).await?;
-    tokio::time::sleep(MAX_PIECE_PAUSE.mul_f64(rng.f64())).await;
-    if !is_open(stream) {
-        return Ok(WriteOutcome::EndedBetweenPieces);
+    tokio::time::sleep(MAX_SPLIT_WRITE_PAUSE.mul_f64(rng.f64())).await;
+    if !is_open_and_quiet(stream) {
+        return Ok(WriteOutcome::Interrupted);
     }
     stream.write_all(rest).await?;
     Ok(WriteOutcome::Complete)
 }
 
-fn request(id: u64, class: RequestClass, timeout: Duration, object: u64) -> Vec<u8> {
+fn request_bytes(id: u64, class: RequestClass, timeout: Duration, object: u64) -> Vec<u8> {
     let head = format!(
         "Host: api.internal\r\nX-Trace-Id: {id:016x}\r\nX-Qos: {}\r\nX-Expires-In-Ms: {}\r\nX-Object: o{object}\r\n",
         class.name(),
--- a/fault-soak/src/discovery.rs
+++ b/fault-soak/src/discovery.rs
@@ -1,9 +1,11 @@
-//! A stand-in for discovery: one list for all nodes, served to each at addresses of its own, and faults on
-//! demand.
+//! Simulates discovery, the service from which nodes learn the list of servers.
+//!
+//! There is one list for all nodes, but each node calls at addresses of its own, so that the record can tell when
+//! each node was notified of a change. Discovery can be made to fail in several ways.
 
-use crate::http::{Message, answer};
+use crate::http::{Message, response_bytes};
 use crate::proxy::listen;
-use crate::record::{ChangeRecord, Record, ServerChange};
+use crate::record::{Record, ServerChange, ServerChangeRecord};
 use crate::settings::DiscoveryMode;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -13,43 +15,47 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// After a new configuration the old address takes no new calls, and closes open ones so much later.
-const MOVED_CLOSE_DELAY: Duration = Duration::from_millis(1500);
-/// How late a slow discovery answers; what an agent has counts at once, so one that is slower could not be
-/// held to it.
-const SLOW_ANSWER: Duration = Duration::from_millis(1200);
-const SLOW_AGENT_ANSWER: Duration = Duration::from_millis(200);
-/// After so long a change counts as known at the latest, once discovery could be reached.
-pub const KNOWN_AT_LATEST: f64 = 6.0;
-/// The longest wait of a call.
+/// How long after a node got a new address of discovery the calls that are open at the old one are closed. The old
+/// address takes no new calls in the meantime.
+const OLD_ADDRESS_CLOSE_DELAY: Duration = Duration::from_millis(1500);
+/// The longest delay of a response while discovery is slow, if nodes poll one service.
+const MAX_SLOW_POLL_DELAY: Duration = Duration::from_millis(1200);
+/// The longest delay of a response while discovery is slow, if each node has a local agent. It is short because the
+/// oracle expects a node to know a change at once when its agent does.
+const MAX_SLOW_AGENT_DELAY: Duration = Duration::from_millis(200);
+/// The time after which the oracle expects every node to know a change, counted from the change or from the end of
+/// the last outage of discovery, whichever is later.
+pub const MAX_PROPAGATION_SECONDS: f64 = 6.0;
+/// The longest time that a call may ask discovery to wait for a change.
 const MAX_WAIT_MS: u64 = 60_000;
-/// The first version, and by how much the count falls where it begins anew. It never reaches what it was
-/// before: a node that slept through the fall would then get changes since another list, and nobody could
-/// see that.
+/// The version of the first list.
 const FIRST_VERSION: u64 = 1_000_000;
-const RESTART_STEP: u64 = 1000;
-/// Changes that are sent one by one; a node that is further behind gets the full list.
-const MAX_DELTA: usize = 40;
+/// By how much each restart of the version numbering begins below the previous beginning. The step is so large that
+/// the new versions never reach the old ones during a run. Otherwise a node that missed the restart would get changes
+/// that do not apply to its list, and neither side could notice.
+const VERSION_RESTART_STEP: u64 = 1000;
+/// A node that is this many versions behind, or more, gets the full list in place of the changes.
+const MAX_DELTA_VERSIONS: usize = 40;
 
-/// How it behaves.
+/// The faults of discovery that are in effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiscoveryFaults {
-    /// Resets all calls.
+    /// Closes all connections and resets new ones.
     pub down: bool,
-    /// Answers late.
+    /// Responds late.
     pub slow: bool,
-    /// Answers nothing.
+    /// Accepts calls but does not respond.
     pub silent: bool,
 }
 
-/// An entry of the list.
+/// A server on the list.
 #[derive(Clone, Debug)]
 struct ListEntry {
     uid: String,
     endpoint: SocketAddr,
     state: &'static str,
     boot_ms: i64,
-    /// The count of changes at its last one.
+    /// The internal version of the list at the last change to this entry.
     version: u64,
 }
 
@@ -60,40 +66,47 @@
     }
 }
 
+/// The list of servers with its versions.
+///
+/// The internal version counts changes and never decreases. Nodes see a reported version, which is the internal one
+/// less `version_offset`, and which decreases when the numbering restarts.
 #[derive(Debug, Default)]
 struct List {
     entries: Vec<ListEntry>,
-    /// Counts changes and never goes back.
+    /// The internal version.
     version: u64,
-    /// What is taken from it for the count that nodes see, and the version at which that count began.
-    count_from: u64,
-    count_began_at: u64,
-    /// How often the count has begun anew.
+    /// The internal version less the reported one.
+    version_offset: u64,
+    /// The internal version at which the present numbering began; 0 before the first restart.
+    numbering_began_at: u64,
+    /// How often the numbering has restarted.
     restarts: u64,
     faults: DiscoveryFaults,
-    /// When it was last down or silent.
+    /// When discovery was last down or silent, in seconds since the start of the record.
     unreachable_until: f64,
 }
 
-/// Discovery.
+/// The simulated discovery service.
 pub struct Discovery {
     list: Mutex<List>,
+    /// The internal version; also wakes waiting calls when the faults change.
     changed: watch::Sender<u64>,
-    /// Counts outages, which end all calls.
+    /// Counts the outages, each of which closes all connections.
     outages: watch::Sender<u32>,
-    /// At which of its two addresses each node has to call.
-    moved: Vec<watch::Sender<usize>>,
+    /// For each node, which of its two addresses of discovery is in use.
+    active_address: Vec<watch::Sender<usize>>,
     mode: DiscoveryMode,
     record: Arc<Record>,
 }
 
-/// The name of a server on the list.
+/// The name under which discovery lists a server.
 pub fn server_name(server: usize) -> String {
     format!("s-{server}")
 }
 
 impl Discovery {
-    /// One that lists these servers as up for long, and listens for each node at its two addresses.
+    /// Starts a discovery service that lists these servers as up and fully warm, and listens at the two addresses
+    /// of each node.
     pub fn start(
         servers: &[SocketAddr],
         nodes: &[[SocketAddr; 2]],
@@ -113,18 +126,18 @@
             list: Mutex::new(list),
             changed: watch::Sender::new(FIRST_VERSION),
             outages: watch::Sender::new(0),
-            moved: nodes.iter().map(|_| watch::Sender::new(0)).collect(),
+            active_address: nodes.iter().map(|_| watch::Sender::new(0)).collect(),
             mode,
             record,
         });
         for (node, addresses) in nodes.iter().enumerate() {
-            for (which, address) in addresses.iter().enumerate() {
+            for (address_index, address) in addresses.iter().enumerate() {
                 let listener = listen(*address);
-                let own = discovery.clone();
+                let service = discovery.clone();
                 tokio::spawn(async move {
                     while let Ok((stream, _)) = listener.accept().await {
                         let _ = stream.set_nodelay(true);
-                        tokio::spawn(own.clone().serve(stream, node, which));
+                        tokio::spawn(service.clone().serve_connection(stream, node, address_index));
                     }
                 });
             }
@@ -132,24 +145,24 @@
         discovery
     }
 
-    /// The full list, as a node has it at its start.
-    pub fn known(&self) -> Value {
+    /// The full list, for the configuration of a node that starts now.
+    pub fn current_list(&self) -> Value {
         let list = self.list.lock().unwrap();
         full_list(&list)
     }
 
-    /// From now on this node calls at its other address.
-    pub fn move_node(&self, node: usize, which: usize) {
-        self.moved[node].send_replace(which);
+    /// Moves discovery to another of the node's addresses.
+    pub fn set_active_address(&self, node: usize, address_index: usize) {
+        self.active_address[node].send_replace(address_index);
     }
 
-    /// The address at which it has to call.
-    pub fn address_of(&self, node: usize) -> usize {
-        *self.moved[node].borrow()
+    /// The index of the address at which the node reaches discovery.
+    pub fn active_address(&self, node: usize) -> usize {
+        *self.active_address[node].borrow()
     }
 
-    /// Changes how it behaves.
-    pub fn set(&self, change: impl FnOnce(&mut DiscoveryFaults)) {
+    /// Changes the faults that are in effect.
+    pub fn set_faults(&self, change: impl FnOnce(&mut DiscoveryFaults)) {
         let now = self.record.now();
         let mut list = self.list.lock().unwrap();
         let before = list.faults;
@@ -159,7 +172,7 @@
             list.unreachable_until = now;
         }
         if unreachable(before) && !unreachable(list.faults) {
-            self.notify_agents(now);
+            self.record_agents_notified(now);
         }
         if list.faults.down && !before.down {
             self.outages.send_modify(|outages| *outages += 1);
@@ -168,28 +181,36 @@
         self.changed.send_modify(|_| {});
     }
 
-    /// An agent notifies at once; it learns nothing while it is silent.
-    fn notify_agents(&self, now: f64) {
+    /// Records that the agents, if there are any, notify their nodes now of all changes that they missed while they
+    /// were unreachable.
+    fn record_agents_notified(&self, now: f64) {
         if self.mode == DiscoveryMode::Push {
             let mut changes = self.record.changes.lock().unwrap();
             changes.iter_mut().flat_map(|change| &mut change.notified_at).for_each(|at| *at = at.min(now));
         }
     }
 
-    /// Begins another count of versions, below the one that nodes know.
+    /// Restarts the numbering of the reported versions, below all versions that nodes know.
     pub fn restart_versions(&self) {
         let mut list = self.list.lock().unwrap();
         list.version += 1;
-        list.count_began_at = list.version;
+        list.numbering_began_at = list.version;
         list.restarts += 1;
-        list.count_from = list.version - (FIRST_VERSION - RESTART_STEP * list.restarts);
+        list.version_offset = list.version - (FIRST_VERSION - VERSION_RESTART_STEP * list.restarts);
         let version = list.version;
         drop(list);
         self.changed.send_replace(version);
     }
 
-    /// Changes a server's entry, and notes when nodes are notified.
-    pub fn change(&self, server: usize, state: &'static str, boot_ms: Option<i64>, change: ServerChange) {
+    /// Changes a server's entry and records the change. Nodes with a local agent count as notified at once, if
+    /// discovery can be reached. `boot_ms` is the new boot time; `None` keeps the present one.
+    pub fn change_server(
+        &self,
+        server: usize,
+        state: &'static str,
+        boot_ms: Option<i64>,
+        change: ServerChange,
+    ) {
         let now = self.record.now();
         let mut list = self.list.lock().unwrap();
         list.version += 1;
@@ -199,9 +220,10 @@
         entry.version = version;
         entry.boot_ms = boot_ms.unwrap_or(entry.boot_ms);
         let reachable = !(list.faults.down || list.faults.silent);
-        let at_once = self.mode == DiscoveryMode::Push && reachable;
-        let notified_at = vec![if at_once { now } else { f64::INFINITY }; self.moved.len()];
-        self.record.changes.lock().unwrap().push(ChangeRecord {
+        let notifies_at_once = self.mode == DiscoveryMode::Push && reachable;
+        let notified_at =
+            vec![if notifies_at_once { now } else { f64::INFINITY }; self.active_address.len()];
+        self.record.changes.lock().unwrap().push(ServerChangeRecord {
             server,
             change,
             at: now,
@@ -212,27 +234,27 @@
         self.changed.send_replace(version);
     }
 
-    /// By when a change made at `at` counts as known whether or not a node was notified: it could be had
-    /// from then on.
-    pub fn known_by(&self, at: f64) -> f64 {
+    /// The time from which every node is expected to know a change that was made at `at`, whether or not the node
+    /// was notified; infinite while discovery cannot be reached.
+    pub fn deemed_known_at(&self, at: f64) -> f64 {
         let list = self.list.lock().unwrap();
         let unreachable = list.faults.down || list.faults.silent;
-        if unreachable { f64::INFINITY } else { at.max(list.unreachable_until) + KNOWN_AT_LATEST }
+        if unreachable { f64::INFINITY } else { at.max(list.unreachable_until) + MAX_PROPAGATION_SECONDS }
     }
 
-    async fn serve(self: Arc<Self>, stream: TcpStream, node: usize, which: usize) {
+    async fn serve_connection(self: Arc<Self>, stream: TcpStream, node: usize, address_index: usize) {
         let mut outages = self.outages.subscribe();
         outages.borrow_and_update();
-        let mut place = self.moved[node].subscribe();
-        if *place.borrow_and_update() != which || self.list.lock().unwrap().faults.down {
+        let mut active_address = self.active_address[node].subscribe();
+        if *active_address.borrow_and_update() != address_index || self.list.lock().unwrap().faults.down {
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             return;
         }
         let (reader, mut writer) = stream.into_split();
         let mut reader = BufReader::new(reader);
-        let conversation = async {
+        let calls = async {
             while let Ok(call) = Message::read(&mut reader, || {}).await {
-                let Some((bytes, version)) = self.answer(&call).await else {
+                let Some((bytes, version)) = self.response(&call).await else {
                     return std::future::pending().await;
                 };
                 if writer.write_all(&bytes).await.is_err() {
@@ -242,15 +264,16 @@
             }
         };
         tokio::select! {
-            () = conversation => {}
+            () = calls => {}
             _ = outages.changed() => {}
             () = async {
-                let _ = place.changed().await;
-                tokio::time::sleep(MOVED_CLOSE_DELAY).await;
+                let _ = active_address.changed().await;
+                tokio::time::sleep(OLD_ADDRESS_CLOSE_DELAY).await;
             } => {}
         }
     }
 
+    /// Records that the node was sent the list of this internal version.
     fn record_notified(&self, node: usize, version: u64) {
         let now = self.record.now();
         let mut changes = self.record.changes.lock().unwrap();
@@ -259,8 +282,9 @@
         }
     }
 
-    /// The answer to a call, and the version that it has; none where the call is never answered.
-    async fn answer(&self, call: &Message) -> Option<(Vec<u8>, u64)> {
+    /// The response to a call and the internal version of the list in it. Returns `None` if discovery is silent and
+    /// the call gets no response.
+    async fn response(&self, call: &Message) -> Option<(Vec<u8>, u64)> {
         let number = |name: &str| {
             let (_, rest) = call.first_line.split_once(name)?;
             rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok()
@@ -277,7 +301,9 @@
                 if self.list.lock().unwrap().faults.silent {
                     std::future::pending::<()>().await;
                 }
-                if after.is_none_or(|after| self.has_update(after)) || changed.changed().await.is_err() {
+                if after.is_none_or(|after| self.has_other_version(after))
+                    || changed.changed().await.is_err()
+                {
                     return;
                 }
             }
@@ -288,34 +314,37 @@
             return None;
         }
         if faults.slow {
-            let slow = if self.mode == DiscoveryMode::Push { SLOW_AGENT_ANSWER } else { SLOW_ANSWER };
-            tokio::time::sleep(slow.mul_f64(0.3 + 0.7 * fastrand::f64())).await;
+            let max_delay =
+                if self.mode == DiscoveryMode::Push { MAX_SLOW_AGENT_DELAY } else { MAX_SLOW_POLL_DELAY };
+            tokio::time::sleep(max_delay.mul_f64(0.3 + 0.7 * fastrand::f64())).await;
         }
         let list = self.list.lock().unwrap();
         let body = changes_since(&list, after);
-        Some((answer("200 OK", "", body.to_string().as_bytes()), list.version))
+        Some((response_bytes("200 OK", "", body.to_string().as_bytes()), list.version))
     }
 
-    fn has_update(&self, after: u64) -> bool {
+    fn has_other_version(&self, after: u64) -> bool {
         let list = self.list.lock().unwrap();
-        after != list.version - list.count_from
+        after != list.version - list.version_offset
     }
 }
 
 fn full_list(list: &List) -> Value {
     let entries: Vec<Value> =
         list.entries.iter().filter(|entry| entry.state != "removed").map(ListEntry::json).collect();
-    json!({"rev": list.version - list.count_from, "all": true, "targets": entries})
+    json!({"rev": list.version - list.version_offset, "all": true, "targets": entries})
 }
 
-/// What has changed since a version of the present count, or all.
+/// The entries that changed after a reported version. Returns the full list if `after` is absent, belongs to an
+/// earlier numbering or is too old.
 fn changes_since(list: &List, after: Option<u64>) -> Value {
-    let present = list.version - list.count_from;
-    let after = after.filter(|after| *after <= present).map(|after| after + list.count_from);
-    let after =
-        after.filter(|after| *after >= list.count_began_at && *after + MAX_DELTA as u64 > list.version);
+    let reported = list.version - list.version_offset;
+    let after = after.filter(|after| *after <= reported).map(|after| after + list.version_offset);
+    let after = after.filter(|after| {
+        *after >= list.numbering_began_at && *after + MAX_DELTA_VERSIONS as u64 > list.version
+    });
     let Some(after) = after else { return full_list(list) };
     let entries: Vec<Value> =
         list.entries.iter().filter(|entry| entry.version > after).map(ListEntry::json).collect();
-    json!({"rev": present, "all": false, "targets": entries})
+    json!({"rev": reported, "all": false, "targets": entries})
 }
--- a/fault-soak/src/fault_injection.rs
+++ b/fault-soak/src/fault_injection.rs
@@ -1,9 +1,12 @@
-//! Carries out the faults of a schedule.
+//! Injects the faults of a schedule into a run.
+//!
+//! Each fault is one task that begins the fault, sleeps for its duration and ends it. Faults that overlap in time
+//! run as separate tasks.
 
 use crate::discovery::{Discovery, server_name};
 use crate::faults::SyscallFault;
 use crate::node::Node;
-use crate::proxy::Mode;
+use crate::proxy::ProxyMode;
 use crate::record::{DisabledPeriod, ServerChange};
 use crate::run::Run;
 use crate::schedule::Fault;
@@ -13,78 +16,82 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::task::JoinSet;
 
-/// How late discovery says that a server died.
-const DEATH_NOTICE: Duration = Duration::from_millis(900);
-/// A server that left the list answers for so long.
-const ANSWERS_AFTER_REMOVAL: Duration = Duration::from_millis(1500);
-/// How soon a command that failed is given again.
+/// The delay from the crash of a server until discovery removes it from the list.
+const CRASH_DETECTION_DELAY: Duration = Duration::from_millis(900);
+/// The longest time that a server keeps serving after discovery removed it from the list.
+const MAX_REMOVED_SERVER_LIFETIME: Duration = Duration::from_millis(1500);
+/// The delay until an admin command that failed is sent again.
 const COMMAND_RETRY: Duration = Duration::from_millis(200);
-/// The pace of clients in a burst and else, in hundredths of their usual pauses.
-const BURST_PACE: u64 = 60;
-const USUAL_PACE: u64 = 100;
-/// How many of a hundred requests are left while clients leave early, and else.
-const MANY_LEAVE: u64 = 50;
-const FEW_LEAVE: u64 = 3;
+/// The pauses between the requests of a client during a burst, in percent of the usual ones.
+const BURST_PAUSE_PERCENT: u64 = 60;
+/// The pauses between the requests of a client outside of bursts, in percent of the usual ones.
+const USUAL_PAUSE_PERCENT: u64 = 100;
+/// The share of requests that clients abandon during [`Fault::AbandonRequests`], in percent.
+const HIGH_ABANDON_PERCENT: u64 = 50;
+/// The share of requests that clients abandon at other times, in percent.
+const USUAL_ABANDON_PERCENT: u64 = 3;
 
 fn milliseconds(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 impl Run {
-    /// Carries a fault out, from its beginning to its end.
+    /// Injects a fault and waits until it has ended.
     pub async fn inject(self: Arc<Self>, fault: Fault) {
         match fault {
-            Fault::Terminate { .. }
-            | Fault::Kill { .. }
-            | Fault::Herd { .. }
-            | Fault::Reload { .. }
-            | Fault::Upgrade { .. }
-            | Fault::HoldUp { .. }
+            Fault::TerminateNode { .. }
+            | Fault::KillNode { .. }
+            | Fault::KillManyNodes { .. }
+            | Fault::ReloadNode { .. }
+            | Fault::UpgradeNode { .. }
+            | Fault::SuspendNode { .. }
             | Fault::DrainNode { .. }
-            | Fault::Ban { .. } => self.inject_at_nodes(fault).await,
-            Fault::Release { .. }
-            | Fault::Drain { .. }
-            | Fault::Replace { .. }
-            | Fault::Crash { .. }
-            | Fault::Hang { .. }
-            | Fault::Errors { .. }
-            | Fault::Full { .. }
-            | Fault::Slow { .. }
-            | Fault::Spoil { .. }
-            | Fault::ResetAll { .. }
-            | Fault::Silence { .. } => self.inject_at_servers(fault).await,
+            | Fault::DisableServer { .. } => self.inject_at_nodes(fault).await,
+            Fault::RollingReplacement { .. }
+            | Fault::DrainServer { .. }
+            | Fault::ReplaceServer { .. }
+            | Fault::CrashServer { .. }
+            | Fault::HangServer { .. }
+            | Fault::ServerErrors { .. }
+            | Fault::RejectRequests { .. }
+            | Fault::SlowServer { .. }
+            | Fault::CorruptResponses { .. }
+            | Fault::ResetConnections { .. }
+            | Fault::DropServerOutput { .. } => self.inject_at_servers(fault).await,
             Fault::DiscoveryDown { .. }
             | Fault::DiscoverySlow { .. }
             | Fault::DiscoverySilent { .. }
-            | Fault::CountAnew => inject_at_discovery(&self.discovery, fault).await,
-            Fault::Pipeline { .. }
-            | Fault::Burst { .. }
-            | Fault::Leave { .. }
-            | Fault::HalfRequests { .. }
-            | Fault::IdleClients { .. } => self.inject_at_clients(fault).await,
+            | Fault::RestartVersions => inject_at_discovery(&self.discovery, fault).await,
+            Fault::PipelinedRequests { .. }
+            | Fault::LoadBurst { .. }
+            | Fault::AbandonRequests { .. }
+            | Fault::PartialRequests { .. }
+            | Fault::IdleConnections { .. } => self.inject_at_clients(fault).await,
             Fault::StepClock { by_ms } => self.step_clock(by_ms),
-            Fault::Interrupt { node, .. }
-            | Fault::LocalFailures { node, .. }
-            | Fault::SlowWrites { node, .. }
-            | Fault::DiskFails { node, .. } => inject_at_system(&self.nodes[node], fault).await,
+            Fault::InterruptedCalls { node, .. }
+            | Fault::SocketFailures { node, .. }
+            | Fault::HeldWrites { node, .. }
+            | Fault::DiskFailures { node, .. } => inject_at_system(&self.nodes[node], fault).await,
         }
     }
 
     async fn inject_at_nodes(&self, fault: Fault) {
         match fault {
-            Fault::Terminate { node } => self.nodes[node].terminate().await,
-            Fault::Kill { node, down_ms } => self.nodes[node].kill(milliseconds(down_ms)).await,
-            Fault::Herd { percent, down_ms } => self.kill_many(percent, milliseconds(down_ms)).await,
-            Fault::Reload { node } => self.nodes[node].reload().await,
-            Fault::Upgrade { node } => self.nodes[node].upgrade().await,
-            Fault::HoldUp { node, for_ms } => self.nodes[node].suspend(milliseconds(for_ms)).await,
+            Fault::TerminateNode { node } => self.nodes[node].terminate().await,
+            Fault::KillNode { node, down_ms } => self.nodes[node].kill(milliseconds(down_ms)).await,
+            Fault::KillManyNodes { percent, down_ms } => {
+                self.kill_many_nodes(percent, milliseconds(down_ms)).await
+            }
+            Fault::ReloadNode { node } => self.nodes[node].reload().await,
+            Fault::UpgradeNode { node } => self.nodes[node].upgrade().await,
+            Fault::SuspendNode { node, for_ms } => self.nodes[node].suspend(milliseconds(for_ms)).await,
             Fault::DrainNode { node, for_ms } => {
-                let _ = self.nodes[node].command("drain").await;
+                let _ = self.nodes[node].admin_command("drain").await;
                 tokio::time::sleep(milliseconds(for_ms)).await;
-                let _ = self.nodes[node].command("resume").await;
+                let _ = self.nodes[node].admin_command("resume").await;
             }
-            Fault::Ban { node, server, for_ms } => {
-                self.disable(node, server, milliseconds(for_ms)).await;
+            Fault::DisableServer { node, server, for_ms } => {
+                self.disable_server(node, server, milliseconds(for_ms)).await;
             }
             _ => {}
         }
@@ -92,24 +99,38 @@
 
     async fn inject_at_servers(self: Arc<Self>, fault: Fault) {
         match fault {
-            Fault::Release { for_ms } => self.release(milliseconds(for_ms)).await,
-            Fault::Drain { server, for_ms } => {
-                self.discovery.change(server, "draining", None, ServerChange::Withdrawn);
+            Fault::RollingReplacement { for_ms } => {
+                self.replace_half_of_servers(milliseconds(for_ms)).await
+            }
+            Fault::DrainServer { server, for_ms } => {
+                self.discovery.change_server(server, "draining", None, ServerChange::Withdrawn);
                 tokio::time::sleep(milliseconds(for_ms)).await;
-                self.discovery.change(server, "up", None, ServerChange::InService);
+                self.discovery.change_server(server, "up", None, ServerChange::InService);
+            }
+            Fault::ReplaceServer { server, for_ms } => {
+                self.replace_server(server, milliseconds(for_ms)).await
+            }
+            Fault::CrashServer { server, for_ms } => self.crash_server(server, milliseconds(for_ms)).await,
+            Fault::HangServer { server, for_ms } => {
+                self.set_server_mode(server, ServerMode::Hanging, for_ms).await
+            }
+            Fault::ServerErrors { server, for_ms } => {
+                self.set_server_mode(server, ServerMode::Failing, for_ms).await
             }
-            Fault::Replace { server, for_ms } => self.replace(server, milliseconds(for_ms)).await,
-            Fault::Crash { server, for_ms } => self.crash(server, milliseconds(for_ms)).await,
-            Fault::Hang { server, for_ms } => self.set_mode(server, ServerMode::Hanging, for_ms).await,
-            Fault::Errors { server, for_ms } => self.set_mode(server, ServerMode::Failing, for_ms).await,
-            Fault::Full { server, for_ms } => self.set_mode(server, ServerMode::Rejecting, for_ms).await,
-            Fault::Slow { server, for_ms } => self.set_mode(server, ServerMode::Slow, for_ms).await,
-            Fault::Spoil { server, for_ms } => self.set_mode(server, ServerMode::Corrupting, for_ms).await,
-            Fault::ResetAll { server } => self.servers[server].proxy.reset_all(),
-            Fault::Silence { server, for_ms } => {
-                self.servers[server].proxy.set(Mode::Silent).await;
+            Fault::RejectRequests { server, for_ms } => {
+                self.set_server_mode(server, ServerMode::Rejecting, for_ms).await
+            }
+            Fault::SlowServer { server, for_ms } => {
+                self.set_server_mode(server, ServerMode::Slow, for_ms).await
+            }
+            Fault::CorruptResponses { server, for_ms } => {
+                self.set_server_mode(server, ServerMode::Corrupting, for_ms).await
+            }
+            Fault::ResetConnections { server } => self.servers[server].proxy.reset_all(),
+            Fault::DropServerOutput { server, for_ms } => {
+                self.servers[server].proxy.set_mode(ProxyMode::DropServerOutput).await;
                 tokio::time::sleep(milliseconds(for_ms)).await;
-                self.servers[server].proxy.set(Mode::Passes).await;
+                self.servers[server].proxy.set_mode(ProxyMode::Forwarding).await;
             }
             _ => {}
         }
@@ -118,30 +139,32 @@
     async fn inject_at_clients(&self, fault: Fault) {
         let clients = &self.clients;
         match fault {
-            Fault::Pipeline { node, count } => clients.clone().pipeline(node, count).await,
-            Fault::Burst { for_ms } => {
-                clients.pace.store(BURST_PACE, Ordering::SeqCst);
+            Fault::PipelinedRequests { node, count } => {
+                clients.clone().send_pipelined_requests(node, count).await
+            }
+            Fault::LoadBurst { for_ms } => {
+                clients.pause_percent.store(BURST_PAUSE_PERCENT, Ordering::SeqCst);
                 tokio::time::sleep(milliseconds(for_ms)).await;
-                clients.pace.store(USUAL_PACE, Ordering::SeqCst);
+                clients.pause_percent.store(USUAL_PAUSE_PERCENT, Ordering::SeqCst);
             }
-            Fault::Leave { for_ms } => {
-                clients.leaving.store(MANY_LEAVE, Ordering::SeqCst);
+            Fault::AbandonRequests { for_ms } => {
+                clients.abandon_percent.store(HIGH_ABANDON_PERCENT, Ordering::SeqCst);
                 tokio::time::sleep(milliseconds(for_ms)).await;
-                clients.leaving.store(FEW_LEAVE, Ordering::SeqCst);
+                clients.abandon_percent.store(USUAL_ABANDON_PERCENT, Ordering::SeqCst);
             }
-            Fault::HalfRequests { node, count } => {
-                let mut halves = JoinSet::new();
+            Fault::PartialRequests { node, count } => {
+                let mut senders = JoinSet::new();
                 for n in 0..count {
-                    halves.spawn(clients.clone().half_request(node, (node * 1000 + n) as u64));
+                    senders.spawn(clients.clone().send_partial_request(node, (node * 1000 + n) as u64));
                 }
-                halves.join_all().await;
+                senders.join_all().await;
             }
-            Fault::IdleClients { node, count } => {
-                let mut idle = JoinSet::new();
+            Fault::IdleConnections { node, count } => {
+                let mut connections = JoinSet::new();
                 for _ in 0..count {
-                    idle.spawn(clients.clone().idle(node));
+                    connections.spawn(clients.clone().hold_idle_connection(node));
                 }
-                idle.join_all().await;
+                connections.join_all().await;
             }
             _ => {}
         }
@@ -152,83 +175,87 @@
         self.nodes.iter().for_each(|node| node.faults.set(SyscallFault::WallOffsetMs, offset));
     }
 
-    async fn kill_many(&self, percent: usize, down: Duration) {
+    async fn kill_many_nodes(&self, percent: usize, downtime: Duration) {
         let mut kills = JoinSet::new();
         for node in &self.nodes[..self.nodes.len() * percent / 100] {
             let node = node.clone();
-            kills.spawn(async move { node.kill(down).await });
+            kills.spawn(async move { node.kill(downtime).await });
         }
         kills.join_all().await;
     }
 
-    /// Half of the servers are replaced, one after another.
-    async fn release(self: Arc<Self>, time: Duration) {
-        let mut replaced = JoinSet::new();
+    /// Replaces half of the servers, with their starts spread evenly over the first half of `duration`.
+    async fn replace_half_of_servers(self: Arc<Self>, duration: Duration) {
+        let mut replacements = JoinSet::new();
         for server in 0..self.servers.len() / 2 {
             let run = self.clone();
-            let later = time.mul_f64(server as f64 / self.servers.len() as f64);
-            replaced.spawn(async move {
-                tokio::time::sleep(later).await;
-                run.replace(server, time).await;
+            let delay = duration.mul_f64(server as f64 / self.servers.len() as f64);
+            replacements.spawn(async move {
+                tokio::time::sleep(delay).await;
+                run.replace_server(server, duration).await;
             });
         }
-        replaced.join_all().await;
+        replacements.join_all().await;
     }
 
-    /// The list drops a server, which ends a while later and comes back in slow start.
-    async fn replace(&self, server: usize, time: Duration) {
-        self.discovery.change(server, "removed", None, ServerChange::Withdrawn);
-        tokio::time::sleep(ANSWERS_AFTER_REMOVAL.min(time)).await;
-        self.servers[server].die().await;
-        tokio::time::sleep(time).await;
-        self.revive(server).await;
+    /// Removes a server from the list, stops it a while later, and restarts it in slow start after `downtime`.
+    async fn replace_server(&self, server: usize, downtime: Duration) {
+        self.discovery.change_server(server, "removed", None, ServerChange::Withdrawn);
+        tokio::time::sleep(MAX_REMOVED_SERVER_LIFETIME.min(downtime)).await;
+        self.servers[server].stop().await;
+        tokio::time::sleep(downtime).await;
+        self.restart_server(server).await;
     }
 
-    /// A server dies, which the list says late, and comes back in slow start.
-    async fn crash(&self, server: usize, time: Duration) {
-        self.servers[server].die().await;
-        tokio::time::sleep(DEATH_NOTICE).await;
-        self.discovery.change(server, "removed", None, ServerChange::Withdrawn);
-        tokio::time::sleep(time).await;
-        self.revive(server).await;
+    /// Stops a server, removes it from the list only some time later, and restarts it in slow start `downtime`
+    /// after its removal.
+    async fn crash_server(&self, server: usize, downtime: Duration) {
+        self.servers[server].stop().await;
+        tokio::time::sleep(CRASH_DETECTION_DELAY).await;
+        self.discovery.change_server(server, "removed", None, ServerChange::Withdrawn);
+        tokio::time::sleep(downtime).await;
+        self.restart_server(server).await;
     }
 
-    async fn set_mode(&self, server: usize, mode: ServerMode, for_ms: u64) {
-        self.servers[server].set(mode);
+    async fn set_server_mode(&self, server: usize, mode: ServerMode, for_ms: u64) {
+        self.servers[server].set_mode(mode);
         tokio::time::sleep(milliseconds(for_ms)).await;
-        self.servers[server].set(ServerMode::Healthy);
+        self.servers[server].set_mode(ServerMode::Healthy);
     }
 
-    /// A server is back, in slow start, and the list says so by the wall clock.
-    async fn revive(&self, server: usize) {
-        self.servers[server].revive().await;
+    /// Restarts a server and lists it as up. Its boot time is by the stepped wall clock of the nodes, so that they
+    /// see it in slow start.
+    async fn restart_server(&self, server: usize) {
+        self.servers[server].restart().await;
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let boot_ms = wall.as_millis() as i64 + self.wall_offset_ms.load(Ordering::SeqCst);
-        self.discovery.change(server, "up", Some(boot_ms), ServerChange::Restarted);
+        self.discovery.change_server(server, "up", Some(boot_ms), ServerChange::Restarted);
     }
 
-    /// The operators take a server out of service at a node, and put it back.
-    async fn disable(&self, node: usize, server: usize, time: Duration) {
+    /// Disables a server at a node by an admin command, and enables it after `duration`. Repeats the second
+    /// command until the node acknowledges it.
+    async fn disable_server(&self, node: usize, server: usize, duration: Duration) {
         let name = server_name(server);
-        let is_done = |answer: Option<String>| answer.is_some_and(|answer| answer.starts_with("done"));
-        if !is_done(self.nodes[node].command(&format!("disable-server {name}")).await) {
+        let is_done = |reply: Option<String>| reply.is_some_and(|reply| reply.starts_with("done"));
+        if !is_done(self.nodes[node].admin_command(&format!("disable-server {name}")).await) {
             return;
         }
-        if !self.begin_disabled(node, server) {
+        if !self.begin_disabled_period(node, server) {
             return;
         }
-        tokio::time::sleep(time).await;
-        // From the command on it may serve again, whatever becomes of the answer.
-        self.end_disabled(node, server);
-        while !is_done(self.nodes[node].command(&format!("enable-server {name}")).await) {
+        tokio::time::sleep(duration).await;
+        // The node may use the server again as soon as it receives the command, even if its reply is lost.
+        self.end_disabled_period(node, server);
+        while !is_done(self.nodes[node].admin_command(&format!("enable-server {name}")).await) {
             tokio::time::sleep(COMMAND_RETRY).await;
         }
     }
 
-    /// False where the server is out of service at this node already: then the two commands are one.
-    fn begin_disabled(&self, node: usize, server: usize) -> bool {
+    /// Records that the server is disabled at the node. Returns `false` if it already was; the task of the earlier
+    /// command then enables it for both.
+    fn begin_disabled_period(&self, node: usize, server: usize) -> bool {
         let from = self.record.now();
-        let mut periods = self.record.disabled.lock().unwrap();
+        let mut periods = self.record.disabled_periods.lock().unwrap();
         let is_disabled = periods.iter().any(|period| is_open_period(period, node, server));
         if !is_disabled {
             periods.push(DisabledPeriod { node, server, from, until: f64::INFINITY });
@@ -236,9 +263,9 @@
         !is_disabled
     }
 
-    fn end_disabled(&self, node: usize, server: usize) {
+    fn end_disabled_period(&self, node: usize, server: usize) {
         let until = self.record.now();
-        let mut periods = self.record.disabled.lock().unwrap();
+        let mut periods = self.record.disabled_periods.lock().unwrap();
         let open = periods.iter_mut().filter(|period| is_open_period(period, node, server));
         open.for_each(|period| period.until = until);
     }
@@ -251,54 +278,54 @@
 async fn inject_at_discovery(discovery: &Discovery, fault: Fault) {
     match fault {
         Fault::DiscoveryDown { for_ms } => {
-            discovery.set(|faults| faults.down = true);
+            discovery.set_faults(|faults| faults.down = true);
             tokio::time::sleep(milliseconds(for_ms)).await;
-            discovery.set(|faults| faults.down = false);
+            discovery.set_faults(|faults| faults.down = false);
         }
         Fault::DiscoverySlow { for_ms } => {
-            discovery.set(|faults| faults.slow = true);
+            discovery.set_faults(|faults| faults.slow = true);
             tokio::time::sleep(milliseconds(for_ms)).await;
-            discovery.set(|faults| faults.slow = false);
+            discovery.set_faults(|faults| faults.slow = false);
         }
         Fault::DiscoverySilent { for_ms } => {
-            discovery.set(|faults| faults.silent = true);
+            discovery.set_faults(|faults| faults.silent = true);
             tokio::time::sleep(milliseconds(for_ms)).await;
-            discovery.set(|faults| faults.silent = false);
+            discovery.set_faults(|faults| faults.silent = false);
         }
-        Fault::CountAnew => discovery.restart_versions(),
+        Fault::RestartVersions => discovery.restart_versions(),
         _ => {}
     }
 }
 
-/// Has system calls of a node's processes fail for a while.
+/// Makes system calls of a node's processes fail for the duration of the fault.
 async fn inject_at_system(node: &Node, fault: Fault) {
     match fault {
-        Fault::Interrupt { one_in, for_ms, .. } => {
-            let time = milliseconds(for_ms);
+        Fault::InterruptedCalls { one_in, for_ms, .. } => {
+            let duration = milliseconds(for_ms);
             tokio::join!(
-                node.fail(SyscallFault::InterruptedIo, one_in, time),
-                node.fail(SyscallFault::ShortIo, one_in, time),
-                node.fail(SyscallFault::InterruptedWait, one_in, time),
+                node.inject_syscall_fault(SyscallFault::InterruptedIo, one_in, duration),
+                node.inject_syscall_fault(SyscallFault::ShortIo, one_in, duration),
+                node.inject_syscall_fault(SyscallFault::InterruptedWait, one_in, duration),
             );
         }
-        Fault::LocalFailures { one_in, for_ms, .. } => {
-            let time = milliseconds(for_ms);
+        Fault::SocketFailures { one_in, for_ms, .. } => {
+            let duration = milliseconds(for_ms);
             tokio::join!(
-                node.fail(SyscallFault::AcceptFails, one_in, time),
-                node.fail(SyscallFault::SocketFails, one_in, time),
-                node.fail(SyscallFault::ConnectFails, one_in, time),
+                node.inject_syscall_fault(SyscallFault::AcceptFails, one_in, duration),
+                node.inject_syscall_fault(SyscallFault::SocketFails, one_in, duration),
+                node.inject_syscall_fault(SyscallFault::ConnectFails, one_in, duration),
             );
         }
-        Fault::SlowWrites { one_in, for_ms, .. } => {
-            node.fail(SyscallFault::HeldSend, one_in, milliseconds(for_ms)).await;
+        Fault::HeldWrites { one_in, for_ms, .. } => {
+            node.inject_syscall_fault(SyscallFault::HeldSend, one_in, milliseconds(for_ms)).await;
         }
-        Fault::DiskFails { for_ms, .. } => {
-            let time = milliseconds(for_ms);
+        Fault::DiskFailures { for_ms, .. } => {
+            let duration = milliseconds(for_ms);
             tokio::join!(
-                node.fail(SyscallFault::WriteFails, 3, time),
-                node.fail(SyscallFault::WriteHalves, 4, time),
-                node.fail(SyscallFault::SyncFails, 3, time),
-                node.fail(SyscallFault::RenameFails, 4, time),
+                node.inject_syscall_fault(SyscallFault::WriteFails, 3, duration),
+                node.inject_syscall_fault(SyscallFault::WriteHalves, 4, duration),
+                node.inject_syscall_fault(SyscallFault::SyncFails, 3, duration),
+                node.inject_syscall_fault(SyscallFault::RenameFails, 4, duration),
             );
         }
         _ => {}
--- a/fault-soak/src/http.rs
+++ b/fault-soak/src/http.rs
@@ -1,56 +1,59 @@
-//! As much of HTTP/1.1 as the stand-ins need.
+//! Reads HTTP/1.1 messages and builds responses, as far as the simulated clients, servers and discovery need it.
 
 use std::collections::HashMap;
 use std::io;
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncReadExt, BufReader};
 
-/// One message.
+/// A request or a response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// Its first line.
+    /// The request line or status line, without its line end.
     pub first_line: String,
-    /// Its headers, by their names in small letters.
+    /// The header values, by lower-case header name. Of several headers with one name, the last counts.
     pub headers: HashMap<String, String>,
-    /// Its body.
+    /// The body, without its chunked framing.
     pub body: Vec<u8>,
 }
 
-/// What came in place of a complete message.
+/// The reason that a message could not be read.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The end, with nothing before it.
+    /// The connection ended before the first byte of the message.
     Closed,
-    /// The end, or what cannot be read, in the middle of it.
-    Midway,
+    /// The connection ended within the message, or the message is malformed.
+    Incomplete,
 }
 
 impl Message {
-    /// A header's value.
+    /// The value of a header, which must be named in lower case; `None` if the message does not have it.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 
-    /// The status of an answer; 0 for none.
+    /// The status code of a response; 0 if the first line has none.
     pub fn status(&self) -> u16 {
         self.first_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// Reads one. `began` is called when its first byte has come.
+    /// Reads a message. Calls `on_first_byte` once its first byte has arrived.
+    ///
+    /// # Errors
+    /// The connection ended before the message was complete, or the message is malformed.
     pub async fn read<R: AsyncRead + Unpin>(
         reader: &mut BufReader<R>,
-        began: impl FnOnce(),
+        on_first_byte: impl FnOnce(),
     ) -> Result<Message, ReadError> {
         match reader.fill_buf().await {
-            Ok(bytes) if !bytes.is_empty() => began(),
+            Ok(bytes) if !bytes.is_empty() => on_first_byte(),
             _ => return Err(ReadError::Closed),
         }
-        Message::read_rest(reader).await.map_err(|_| ReadError::Midway)
+        Message::read_rest(reader).await.map_err(|_| ReadError::Incomplete)
     }
 
     async fn read_rest<R: AsyncRead + Unpin>(reader: &mut BufReader<R>) -> io::Result<Message> {
-        let mut message = Message { first_line: line(reader).await?, ..Message::default() };
+        let mut message = Message { first_line: read_line(reader).await?, ..Message::default() };
         loop {
-            let line = line(reader).await?;
+            let line = read_line(reader).await?;
             if line.is_empty() {
                 break;
             }
@@ -61,10 +64,10 @@
         if message.header("transfer-encoding").is_some() {
             loop {
                 let size =
-                    usize::from_str_radix(line(reader).await?.trim(), 16).map_err(io::Error::other)?;
+                    usize::from_str_radix(read_line(reader).await?.trim(), 16).map_err(io::Error::other)?;
                 let mut chunk = vec![0; size];
                 reader.read_exact(&mut chunk).await?;
-                line(reader).await?;
+                read_line(reader).await?;
                 if size == 0 {
                     return Ok(message);
                 }
@@ -78,7 +81,8 @@
     }
 }
 
-async fn line<R: AsyncRead + Unpin>(reader: &mut BufReader<R>) -> io::Result<String> {
+/// Reads a line and removes its end. A line that the connection cuts short is an error.
+async fn read_line<R: AsyncRead + Unpin>(reader: &mut BufReader<R>) -> io::Result<String> {
     let mut line = String::new();
     if reader.read_line(&mut line).await? == 0 || !line.ends_with('\n') {
         return Err(io::ErrorKind::UnexpectedEof.into());
@@ -86,8 +90,8 @@
     Ok(line.trim_end().to_owned())
 }
 
-/// An answer in full.
-pub fn answer(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
+/// A response with a `Content-Length`. `status` is the code and its reason, and `headers` are complete header lines.
+pub fn response_bytes(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes =
         format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
--- a/fault-soak/src/main.rs
+++ b/fault-soak/src/main.rs
@@ -1,5 +1,8 @@
-//! A randomized fault soak: real node processes on loopback, stand-ins around them, faults that overlap in
-//! time, and an oracle that judges by what clients, servers and discovery saw.
+//! Runs node processes under random faults, and checks from outside that they keep the rules.
+//!
+//! Some failures show only when several faults overlap, in combinations that nobody writes a test for. The fault soak
+//! runs real nodes on loopback, simulates the clients, the servers and discovery around them, and injects faults
+//! that a seed determines. An oracle then checks the record of what clients, servers and discovery observed.
 
 mod client;
 mod discovery;
@@ -26,47 +29,48 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Plays seeded runs of real nodes under overlapping faults, and fails where a rule broke.
+/// Plays seeded runs of node processes under overlapping faults, and fails if a rule was broken.
 #[derive(Debug, Parser)]
 struct Arguments {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, from the first on.
+    /// The number of successive seeds to play.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// How long clients ask, for each seed.
+    /// How long clients send requests, for each seed.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// How many nodes.
+    /// The number of nodes.
     #[arg(long, default_value_t = 12)]
     nodes: usize,
-    /// How many servers.
+    /// The number of servers.
     #[arg(long, default_value_t = 8)]
     servers: usize,
-    /// The node's program.
+    /// The path of the node's executable.
     #[arg(long, default_value = "target/release/wheelpath-node")]
     program: PathBuf,
-    /// Plays the faults of this file in place of those of the seed.
+    /// Plays the schedule in this file instead of the one of the seed.
     #[arg(long)]
     schedule: Option<PathBuf>,
-    /// Once a seed fails, leaves out faults for as long as it still does, and prints what is left.
+    /// If a seed fails, removes faults for as long as the run still fails, and prints the remaining schedule.
     #[arg(long)]
     shorten: bool,
-    /// Keeps the logs of the processes in this folder.
+    /// Keeps the logs and configuration files of the nodes in this folder.
     #[arg(long)]
     logs: Option<PathBuf>,
 }
 
-/// How often a shortened schedule is played before it counts as one that passes.
-const SHORTEN_TRIES: u32 = 2;
+/// How often a shortened schedule is played before it counts as one that no longer fails. A failure need not show in
+/// every run, because the timing varies.
+const SHORTEN_ATTEMPTS: u32 = 2;
 
-/// A schedule that cannot be played.
+/// The reason that a schedule cannot be played.
 #[derive(Debug)]
 enum ScheduleError {
     /// The file cannot be read.
     Read(PathBuf, io::Error),
-    /// A line of it is wrong.
+    /// A line of the file is not a valid fault.
     Parse(PathBuf, schedule::ParseError),
 }
 
@@ -84,7 +88,7 @@
         Plan {
             seed,
             faults,
-            length: Duration::from_secs(self.seconds),
+            duration: Duration::from_secs(self.seconds),
             nodes: self.nodes,
             servers: self.servers,
             program: std::path::absolute(&self.program).unwrap_or_else(|_| self.program.clone()),
@@ -92,7 +96,7 @@
         }
     }
 
-    /// The faults of a seed, or of the file that is to be played.
+    /// The faults of the schedule file if one was given, or of the seed.
     fn faults(&self, seed: u64) -> Result<Vec<ScheduledFault>, ScheduleError> {
         let Some(file) = &self.schedule else {
             let size = run::fleet_size(self.nodes, self.servers, self.seconds * 1000);
@@ -107,11 +111,12 @@
 fn print_violations(seed: u64, faults: &[ScheduledFault], violations: &[Violation]) {
     println!("seed {seed}: schedule\n{}", schedule::print(faults));
     for Violation { at, rule, description } in violations {
-        println!("seed {seed}: {rule:?} at {at:.3} s: {description}");
+        println!("seed {seed}: {} at {at:.3} s: {description}", rule.name());
     }
 }
 
-/// Leaves out one fault after another for as long as a rule still breaks.
+/// Removes one fault after another, last to first, and keeps each removal after which the run still breaks a rule
+/// that it broke before.
 fn shorten(
     arguments: &Arguments,
     seed: u64,
@@ -119,7 +124,7 @@
     violations: &[Violation],
 ) -> Vec<ScheduledFault> {
     let fails = |faults: &[ScheduledFault]| {
-        (0..SHORTEN_TRIES).any(|_| {
+        (0..SHORTEN_ATTEMPTS).any(|_| {
             let report = run::play(&arguments.plan(seed, faults.to_vec()));
             report.violations.iter().any(|new| violations.iter().any(|old| old.rule == new.rule))
         })
@@ -127,17 +132,17 @@
     let mut index = faults.len();
     while index > 0 {
         index -= 1;
-        let mut fewer = faults.clone();
-        fewer.remove(index);
-        if fails(&fewer) {
-            faults = fewer;
+        let mut shorter = faults.clone();
+        shorter.remove(index);
+        if fails(&shorter) {
+            faults = shorter;
             index = index.min(faults.len());
         }
     }
     faults
 }
 
-/// Plays one seed. True if no rule broke.
+/// Plays one seed and prints the result. Returns whether the oracle found no violation.
 fn play_seed(arguments: &Arguments, seed: u64) -> Result<bool, ScheduleError> {
     let faults = arguments.faults(seed)?;
     let report = run::play(&arguments.plan(seed, faults.clone()));
--- a/fault-soak/src/node.rs
+++ b/fault-soak/src/node.rs
@@ -1,11 +1,14 @@
-//! Node processes: started, signalled, replaced and watched.
+//! Starts, signals, replaces and watches the processes of the nodes.
+//!
+//! A node is a sequence of processes with the same addresses. Some nodes are persistent: their processes inherit one
+//! listening socket and share one state folder, so that a new process can take over from one that still runs.
 
 use crate::client::Clients;
 use crate::discovery::Discovery;
 use crate::faults::{SyscallFault, SyscallFaults};
 use crate::http::Message;
 use crate::record::{ProcessGap, Record, Rule};
-use crate::settings::{Addresses, Start, config};
+use crate::settings::{NodeAddresses, ProcessParameters, config};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::Value;
@@ -21,38 +24,39 @@
 use tokio::process::{Child, Command};
 use tokio::sync::Mutex as AsyncMutex;
 
-/// New connections come for so long after SIGTERM.
-const FRONT_CLOSES_AFTER_TERM: Duration = Duration::from_millis(300);
-/// SIGKILL comes no sooner than this after SIGTERM: the longest deadline, taken for 3 s at least, and 0.7 s.
+/// How long after SIGTERM clients still open new connections to the node.
+const REMOVAL_DELAY_AFTER_SIGTERM: Duration = Duration::from_millis(300);
+/// How long a process may take to exit after SIGTERM, until it is killed: the longest deadline of a request, which
+/// is taken to be at least 3 s, plus 0.7 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3700);
-/// The front still sends to a node that died for so long.
-const FRONT_NOTICES_DEATH: Duration = Duration::from_millis(1000);
-/// A process must be ready within this.
-const READY_TIMEOUT: f64 = 30.0;
-/// How long a new process that starts alongside an old one has to become ready.
+/// How long after the death of a process clients still try to open new connections to the node.
+const REMOVAL_DELAY_AFTER_DEATH: Duration = Duration::from_millis(1000);
+/// The time within which a process must become ready.
+const READY_TIMEOUT_SECONDS: f64 = 30.0;
+/// How long an upgrade waits for the new process to become ready before it terminates the old one anyway.
 const UPGRADE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Console calls are answered within this.
+/// How long to wait for the reply to an admin command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What all nodes have in common.
-pub struct Site {
+/// The environment that all nodes of a run share.
+pub struct Deployment {
     /// The program under test.
     pub program: PathBuf,
-    /// Configurations, logs and folders that last.
+    /// Holds the configuration files, the logs and the state folders of the nodes.
     pub folder: PathBuf,
-    /// Of all nodes, in order.
+    /// The addresses at which the nodes receive datagrams of each other, by node index.
     pub peers: Vec<SocketAddr>,
-    /// The settings of each node.
+    /// The settings of the nodes, by node index.
     pub settings: Vec<Value>,
-    /// Discovery.
+    /// Lists the servers, and moves to another address when a node is reloaded.
     pub discovery: Arc<Discovery>,
-    /// Clients, whose front knows the nodes.
+    /// Must be told which nodes are in rotation.
     pub clients: Arc<Clients>,
-    /// What happened.
+    /// Where the nodes record violations, gaps between processes and ready times.
     pub record: Arc<Record>,
-    /// Of the processes' own random numbers.
+    /// From which the seeds of the processes are derived.
     pub seed: u64,
-    /// Descriptors that each may hold.
+    /// The number of descriptors that each process may hold.
     pub sockets: usize,
 }
 
@@ -62,34 +66,35 @@
     log: PathBuf,
 }
 
-/// A node: one process after another.
+/// A node under test, of which usually one process runs at a time.
 pub struct Node {
-    /// Its number.
-    pub number: usize,
-    addresses: Addresses,
-    /// A listening socket and a folder that last from one process to the next.
-    lasting: Option<(StdListener, PathBuf)>,
-    /// System calls that fail in its processes.
+    /// The index of the node.
+    pub index: usize,
+    addresses: NodeAddresses,
+    /// The listening socket and the state folder that outlive a process; `None` if the node is not persistent.
+    persistent: Option<(StdListener, PathBuf)>,
+    /// The faults of system calls in the processes of the node.
     pub faults: Arc<SyscallFaults>,
+    /// The process that serves; `None` before the first start and while the node is stopped.
     process: AsyncMutex<Option<Process>>,
-    /// Starts and ends of processes come one after another.
-    busy: AsyncMutex<()>,
-    started: AtomicU32,
+    /// Held while a process is started, replaced or stopped, so that only one task does so at a time.
+    lifecycle_lock: AsyncMutex<()>,
+    start_count: AtomicU32,
     logs: Mutex<Vec<PathBuf>>,
-    site: Arc<Site>,
+    deployment: Arc<Deployment>,
 }
 
 impl Node {
-    /// A node with no process yet.
+    /// Creates a node without a process. Creates the listening socket and the state folder if it is persistent.
     pub fn new(
-        number: usize,
-        addresses: Addresses,
-        lasts: bool,
+        index: usize,
+        addresses: NodeAddresses,
+        is_persistent: bool,
         faults: Arc<SyscallFaults>,
-        site: Arc<Site>,
+        deployment: Arc<Deployment>,
     ) -> Arc<Node> {
-        let lasting = lasts.then(|| {
-            let folder = site.folder.join(format!("node-{number}"));
+        let persistent = is_persistent.then(|| {
+            let folder = deployment.folder.join(format!("node-{index}"));
             std::fs::create_dir_all(&folder).unwrap();
             let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
             socket.set_reuse_address(true).unwrap();
@@ -98,41 +103,47 @@
             (socket.into(), folder)
         });
         Arc::new(Node {
-            number,
+            index,
             addresses,
-            lasting,
+            persistent,
             faults,
             process: AsyncMutex::default(),
-            busy: AsyncMutex::default(),
-            started: AtomicU32::new(0),
+            lifecycle_lock: AsyncMutex::default(),
+            start_count: AtomicU32::new(0),
             logs: Mutex::default(),
-            site,
+            deployment,
         })
     }
 
+    /// Writes the configuration file of a new process and spawns it.
     fn launch(&self) -> Process {
-        let n = self.started.fetch_add(1, Ordering::SeqCst);
+        let start_number = self.start_count.fetch_add(1, Ordering::SeqCst);
         let admin = free_address();
-        let name = format!("n{}", self.number);
-        let place = self.site.discovery.address_of(self.number);
-        let start = Start {
+        let name = format!("n{}", self.index);
+        let discovery_index = self.deployment.discovery.active_address(self.index);
+        let parameters = ProcessParameters {
             name: name.clone(),
-            discovery: self.addresses.discovery[place],
+            discovery: self.addresses.discovery[discovery_index],
             admin,
-            seed: self.site.seed ^ u64::from(n) << 32 ^ self.number as u64,
-            sockets: self.site.sockets,
+            seed: self.deployment.seed ^ u64::from(start_number) << 32 ^ self.index as u64,
+            sockets: self.deployment.sockets,
         };
-        let (known, settings) = (self.site.discovery.known(), &self.site.settings[self.number]);
-        let config = config(&start, &self.addresses, &self.site.peers, &known, settings);
+        let (server_list, settings) =
+            (self.deployment.discovery.current_list(), &self.deployment.settings[self.index]);
+        let config = config(&parameters, &self.addresses, &self.deployment.peers, &server_list, settings);
         let file = self.config_file();
         std::fs::write(&file, config.to_string()).unwrap();
-        let log = self.site.folder.join(format!("{name}-{n}.log"));
+        let log = self.deployment.folder.join(format!("{name}-{start_number}.log"));
         self.logs.lock().unwrap().push(log.clone());
         let mut command = std::process::Command::new("/bin/sh");
-        let script = if self.lasting.is_some() { "exec \"$0\" 3<&0 0</dev/null" } else { "exec \"$0\"" };
-        command.args(["-c", script]).arg(&self.site.program).env("LB_CONFIG", &file).env("LB_TRACE", "all");
+        let script = if self.persistent.is_some() { "exec \"$0\" 3<&0 0</dev/null" } else { "exec \"$0\"" };
+        command
+            .args(["-c", script])
+            .arg(&self.deployment.program)
+            .env("LB_CONFIG", &file)
+            .env("LB_TRACE", "all");
         command.stderr(File::create(&log).unwrap()).stdout(Stdio::null());
-        match &self.lasting {
+        match &self.persistent {
             Some((socket, folder)) => {
                 let socket = std::os::fd::OwnedFd::from(socket.try_clone().unwrap());
                 command.stdin(socket).env("LB_INHERITED_FD", "3").env("TMPDIR", folder);
@@ -145,196 +156,212 @@
     }
 
     fn config_file(&self) -> PathBuf {
-        self.site.folder.join(format!("n{}.json", self.number))
+        self.deployment.folder.join(format!("n{}.json", self.index))
     }
 
-    fn open_door(&self, open: bool) {
-        self.site.clients.entries[self.number].open.store(open, Ordering::SeqCst);
+    fn set_in_rotation(&self, in_rotation: bool) {
+        self.deployment.clients.nodes[self.index].in_rotation.store(in_rotation, Ordering::SeqCst);
     }
 
-    /// Starts a process and waits until the front takes it in.
+    /// Starts a process, waits until it is ready, and puts the node in rotation.
     pub async fn start(&self) {
-        let began = self.site.record.now();
+        let began_at = self.deployment.record.now();
         let process = self.launch();
         *self.process.lock().await = Some(process);
-        self.wait_ready(began).await;
+        self.wait_until_ready(began_at).await;
     }
 
-    async fn wait_ready(&self, began: f64) {
+    /// Waits until the process is ready. Records a violation if it exits or takes too long.
+    async fn wait_until_ready(&self, began_at: f64) {
         loop {
-            let took = self.site.record.now() - began;
-            if self.up().await == 200 {
-                self.site.record.ready_times.lock().unwrap().push(took);
+            let elapsed = self.deployment.record.now() - began_at;
+            if self.readiness_status().await == 200 {
+                self.deployment.record.ready_times.lock().unwrap().push(elapsed);
                 self.end_gaps();
-                return self.open_door(true);
+                return self.set_in_rotation(true);
             }
-            if took > READY_TIMEOUT {
-                return self.record_violation(Rule::Ready, "not ready after 30 s");
+            if elapsed > READY_TIMEOUT_SECONDS {
+                return self.record_violation(Rule::Readiness, "not ready after 30 s");
             }
-            if !self.runs().await {
-                return self.record_violation(Rule::Process, "ended by itself while it started");
+            if !self.is_running().await {
+                return self
+                    .record_violation(Rule::ProcessExit, "the process exited by itself while it started");
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
+    /// Records that the process is ready, which ends all open gaps of the node.
     fn end_gaps(&self) {
-        let now = self.site.record.now();
-        let mut gaps = self.site.record.gaps.lock().unwrap();
-        gaps.iter_mut()
-            .filter(|begin_gap| begin_gap.node == self.number)
-            .for_each(|begin_gap| begin_gap.until = begin_gap.until.min(now));
+        let now = self.deployment.record.now();
+        let mut gaps = self.deployment.record.process_gaps.lock().unwrap();
+        gaps.iter_mut().filter(|gap| gap.node == self.index).for_each(|gap| gap.until = gap.until.min(now));
     }
 
-    fn record_violation(&self, rule: Rule, what: &str) {
-        self.site.record.record_violation(rule, format!("node {}: {what}", self.number));
+    fn record_violation(&self, rule: Rule, detail: &str) {
+        self.deployment.record.record_violation(rule, format!("node {}: {detail}", self.index));
     }
 
-    async fn up(&self) -> u16 {
-        let ask = async {
+    /// The status of the node's readiness check; 0 if there is no response within 2 s.
+    async fn readiness_status(&self) -> u16 {
+        let exchange = async {
             let mut stream = TcpStream::connect(self.addresses.listen).await.ok()?;
             stream.write_all(b"GET /up HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n").await.ok()?;
             Message::read(&mut BufReader::new(stream), || {}).await.ok()
         };
-        let answer = tokio::time::timeout(Duration::from_secs(2), ask).await;
-        answer.ok().flatten().map_or(0, |message| message.status())
+        let response = tokio::time::timeout(Duration::from_secs(2), exchange).await;
+        response.ok().flatten().map_or(0, |message| message.status())
     }
 
-    async fn runs(&self) -> bool {
+    async fn is_running(&self) -> bool {
         let mut process = self.process.lock().await;
         process.as_mut().is_some_and(|process| matches!(process.child.try_wait(), Ok(None)))
     }
 
-    /// Records a process that has ended by itself.
-    pub async fn check(&self) {
-        // Locked during the check: no other task may end the process meanwhile.
-        let Ok(_busy) = self.busy.try_lock() else { return };
-        if self.process.lock().await.is_some() && !self.runs().await {
-            self.record_violation(Rule::Process, "ended by itself");
+    /// Records a violation if the process has exited by itself, and starts another one. Does nothing while another
+    /// task starts or stops a process.
+    pub async fn restart_if_exited(&self) {
+        // The lock is held during the check, so that no other task stops the process in the meantime.
+        let Ok(_lifecycle) = self.lifecycle_lock.try_lock() else { return };
+        if self.process.lock().await.is_some() && !self.is_running().await {
+            self.record_violation(Rule::ProcessExit, "the process exited by itself");
             self.start().await;
         }
     }
 
+    /// Records that the process is about to be killed or terminated.
     fn begin_gap(&self, killed: bool) {
-        let from = self.site.record.now();
-        let begin_gap = ProcessGap { node: self.number, from, killed, until: f64::INFINITY };
-        self.site.record.gaps.lock().unwrap().push(begin_gap);
+        let from = self.deployment.record.now();
+        let gap = ProcessGap { node: self.index, from, killed, until: f64::INFINITY };
+        self.deployment.record.process_gaps.lock().unwrap().push(gap);
     }
 
-    /// SIGTERM, the end in time, and a new process.
+    /// Terminates the process, waits until it has exited, and starts a new one.
     pub async fn terminate(&self) {
-        let _busy = self.busy.lock().await;
+        let _lifecycle = self.lifecycle_lock.lock().await;
         self.stop().await;
         self.start().await;
     }
 
-    /// SIGTERM, and the end in time.
+    /// Terminates the process and waits until it has exited.
     async fn stop(&self) {
         let Some(process) = self.process.lock().await.take() else { return };
         self.begin_gap(false);
         signal(&process.child, Signal::SIGTERM);
-        let ending = self.ended(process);
-        tokio::join!(ending, async {
-            tokio::time::sleep(FRONT_CLOSES_AFTER_TERM).await;
-            self.open_door(false);
+        let exit = self.await_exit(process);
+        tokio::join!(exit, async {
+            tokio::time::sleep(REMOVAL_DELAY_AFTER_SIGTERM).await;
+            self.set_in_rotation(false);
         });
     }
 
-    /// Waits for the end of a terminated process.
-    async fn ended(&self, mut process: Process) {
+    /// Waits until a terminated process has exited, and kills it after `SHUTDOWN_TIMEOUT`. Records a violation if it
+    /// was killed, failed, or logged a violation itself.
+    async fn await_exit(&self, mut process: Process) {
         match tokio::time::timeout(SHUTDOWN_TIMEOUT, process.child.wait()).await {
             Ok(Ok(status)) if status.success() => {}
-            Ok(status) => self.record_violation(Rule::Process, &format!("ended with {status:?}")),
+            Ok(status) => self.record_violation(
+                Rule::ProcessExit,
+                &format!("the process exited with {status:?} after SIGTERM"),
+            ),
             Err(_) => {
-                self.record_violation(Rule::Process, "still runs when SIGKILL is due after SIGTERM");
+                self.record_violation(
+                    Rule::ProcessExit,
+                    "the process still ran when it had to be killed after SIGTERM",
+                );
                 let _ = process.child.kill().await;
             }
         }
         let log = std::fs::read_to_string(&process.log).unwrap_or_default();
-        let counted = log.lines().find(|line| line.contains("violation:"));
-        if let Some(line) = counted {
-            self.record_violation(Rule::Counted, line);
+        let reported = log.lines().find(|line| line.contains("violation:"));
+        if let Some(line) = reported {
+            self.record_violation(Rule::SelfReportedViolation, line);
         }
     }
 
-    /// SIGKILL, and a new process after a while.
-    pub async fn kill(&self, down: Duration) {
-        let _busy = self.busy.lock().await;
+    /// Kills the process, and starts a new one after `downtime`.
+    pub async fn kill(&self, downtime: Duration) {
+        let _lifecycle = self.lifecycle_lock.lock().await;
         let Some(mut process) = self.process.lock().await.take() else { return };
         self.begin_gap(true);
         let _ = process.child.kill().await;
-        tokio::join!(tokio::time::sleep(down), async {
-            tokio::time::sleep(FRONT_NOTICES_DEATH.min(down)).await;
-            self.open_door(false);
+        tokio::join!(tokio::time::sleep(downtime), async {
+            tokio::time::sleep(REMOVAL_DELAY_AFTER_DEATH.min(downtime)).await;
+            self.set_in_rotation(false);
         });
         self.start().await;
     }
 
-    /// Starts a new process alongside the old one, which ends once the new one is ready.
+    /// Starts a new process alongside the old one, and terminates the old one once the new one is ready or
+    /// `UPGRADE_TIMEOUT` is over. Does nothing if the node is not persistent.
     pub async fn upgrade(&self) {
-        let _busy = self.busy.lock().await;
-        if self.lasting.is_none() {
+        let _lifecycle = self.lifecycle_lock.lock().await;
+        if self.persistent.is_none() {
             return;
         }
         let new = self.launch();
         let ready = tokio::time::timeout(UPGRADE_TIMEOUT, async {
-            while !command(new.admin, "ready").await.is_some_and(|answer| answer.starts_with("done")) {
+            while !send_command(new.admin, "ready").await.is_some_and(|reply| reply.starts_with("done")) {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         });
-        let ready = ready.await.is_ok();
+        let is_ready = ready.await.is_ok();
         let old = self.process.lock().await.replace(new);
-        if !ready {
-            // No server is in service, or discovery is down: nobody can be ready.
-            eprintln!("node {}: the new process is not ready after 6 s", self.number);
+        if !is_ready {
+            // This is not a violation: while no server is in service or discovery is down, no process can be ready.
+            eprintln!(
+                "node {}: the new process is not ready after 6 s; terminating the old one",
+                self.index
+            );
         }
         if let Some(old) = old {
             self.begin_gap(false);
             signal(&old.child, Signal::SIGTERM);
-            self.ended(old).await;
+            self.await_exit(old).await;
         }
     }
 
-    /// A new configuration with another address of discovery, and SIGHUP.
+    /// Moves discovery to the node's other address, changes the configuration file accordingly and sends SIGHUP.
     pub async fn reload(&self) {
-        let _busy = self.busy.lock().await;
+        let _lifecycle = self.lifecycle_lock.lock().await;
         let process = self.process.lock().await;
         let Some(process) = process.as_ref() else { return };
-        let which = 1 - self.site.discovery.address_of(self.number);
+        let discovery_index = 1 - self.deployment.discovery.active_address(self.index);
         let file = self.config_file();
         let text = std::fs::read_to_string(&file).unwrap();
         let mut config: Value = serde_json::from_str(&text).unwrap();
-        config["discovery"] = self.addresses.discovery[which].to_string().into();
+        config["discovery"] = self.addresses.discovery[discovery_index].to_string().into();
         std::fs::write(&file, config.to_string()).unwrap();
-        self.site.discovery.move_node(self.number, which);
+        self.deployment.discovery.set_active_address(self.index, discovery_index);
         signal(&process.child, Signal::SIGHUP);
     }
 
-    /// Stops its process for a while.
-    pub async fn suspend(&self, time: Duration) {
+    /// Suspends the process for `duration`.
+    pub async fn suspend(&self, duration: Duration) {
         let process = self.process.lock().await;
         let Some(process) = process.as_ref() else { return };
         signal(&process.child, Signal::SIGSTOP);
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         signal(&process.child, Signal::SIGCONT);
     }
 
-    /// An answer of the console of the process that serves; none where it gives none in time.
-    pub async fn command(&self, line: &str) -> Option<String> {
+    /// Sends an admin command to the process that serves. Returns `None` if there is no process, or it does not reply
+    /// in time.
+    pub async fn admin_command(&self, line: &str) -> Option<String> {
         let admin = self.process.lock().await.as_ref()?.admin;
-        command(admin, line).await
+        send_command(admin, line).await
     }
 
-    /// Has its processes meet a fault for a while.
-    pub async fn fail(&self, fault: SyscallFault, one_in: i64, time: Duration) {
+    /// Makes one in `one_in` of the system calls that the fault concerns fail, for `duration`.
+    pub async fn inject_syscall_fault(&self, fault: SyscallFault, one_in: i64, duration: Duration) {
         self.faults.set(fault, one_in);
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         self.faults.set(fault, 0);
     }
 
-    /// Ends it for good, and checks the logs of its processes.
+    /// Stops the node for good, and checks the logs of its processes for panics.
     pub async fn finish(&self) {
-        let _busy = self.busy.lock().await;
+        let _lifecycle = self.lifecycle_lock.lock().await;
         self.stop().await;
         for log in self.logs.lock().unwrap().iter() {
             self.check_log(log);
@@ -344,30 +371,32 @@
     fn check_log(&self, log: &Path) {
         let text = std::fs::read_to_string(log).unwrap_or_default();
         if let Some(line) = text.lines().find(|line| line.contains("panicked")) {
-            self.record_violation(Rule::Process, &format!("{}: {line}", log.display()));
+            self.record_violation(Rule::ProcessExit, &format!("{}: {line}", log.display()));
         }
     }
 }
 
 fn signal(child: &Child, signal: Signal) {
     if let Some(pid) = child.id().and_then(|pid| i32::try_from(pid).ok()) {
-        // It may have ended by itself, which is noted elsewhere.
+        // The signal fails if the process has exited by itself, which `restart_if_exited` or `await_exit` records.
         let _ = kill(Pid::from_raw(pid), signal);
     }
 }
 
-async fn command(admin: SocketAddr, line: &str) -> Option<String> {
-    let ask = async {
+/// Sends an admin command. Returns `None` if there is no complete reply within `COMMAND_TIMEOUT`.
+async fn send_command(admin: SocketAddr, line: &str) -> Option<String> {
+    let exchange = async {
         let mut stream = TcpStream::connect(admin).await.ok()?;
         stream.write_all(format!("{line}\n").as_bytes()).await.ok()?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).await.ok()?;
-        Some(answer)
+        let mut reply = String::new();
+        stream.read_to_string(&mut reply).await.ok()?;
+        Some(reply)
     };
-    tokio::time::timeout(COMMAND_TIMEOUT, ask).await.ok().flatten()
+    tokio::time::timeout(COMMAND_TIMEOUT, exchange).await.ok().flatten()
 }
 
-/// An address on which nothing listens, of this program's own.
+/// A loopback address on which nothing listens. The IP address depends on the process id, so that several runs on one
+/// machine do not get the same address.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/fault-soak/src/oracle/mod.rs
+++ b/fault-soak/src/oracle/mod.rs
@@ -1,57 +1,62 @@
-//! Holds what was seen from outside against each rule.
+//! Checks the record of a run against the rules that every run must keep.
 //!
-//! [`request_rules`] has the rules on one request and its attempts, [`server_rules`] those on what a server
-//! gets. Each rule is one function, named as in `docs/fault-soak.md`.
+//! The oracle sees a run only from outside: it compares what clients, servers and discovery observed.
+//! [`request_rules`] has the rules for one request and its attempts, and [`server_rules`] those for the
+//! requests that a server receives. Each rule is one function. `docs/fault-soak.md` describes the rules under
+//! the names that [`Rule::name`] returns.
 
 mod request_rules;
 mod server_rules;
 
-use crate::record::{ChangeRecord, ClientRequest, Record, Rule, ServerAttempt};
+use crate::record::{ClientRequest, Record, Rule, ServerAttempt, ServerChangeRecord};
 use std::collections::HashMap;
 
-/// A process may be suspended for so long between its clock and its writes, in seconds.
-const HOLD_SLACK: f64 = 0.15;
-/// What loopback and this program's own scheduling may take, in seconds.
-const LOOPBACK_SLACK: f64 = 0.05;
-/// A stall of this program so long before still shows, in seconds.
-const STALL_RANGE: f64 = 2.5;
-/// Nine in ten new processes are ready within this, in seconds.
-const READY_TIME: f64 = 10.0;
+/// The longest time that the fault injection suspends a process between a read of its clock and the write that
+/// follows.
+const HELD_WRITE_SLACK_SECONDS: f64 = 0.15;
+/// The delay that loopback and the scheduling of this program add to an observed time.
+const LOOPBACK_SLACK_SECONDS: f64 = 0.05;
+/// How long before an observation a stall of this program can end and still delay the observed time.
+const STALL_LOOKBACK_SECONDS: f64 = 2.5;
+/// The time within which nine in ten new processes must be ready.
+const READY_LIMIT_SECONDS: f64 = 10.0;
 
 /// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// When it showed, in seconds.
+    /// When the violation showed, in seconds since the start of the record.
     pub at: f64,
-    /// Of which rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// What happened, by the request's id where there is one.
+    /// What was observed, with the id of the request if the violation concerns one.
     pub description: String,
 }
 
-/// All violations that the record shows. `known_by` says when a change counts as known whether or not a
-/// node was notified.
-pub fn judge(record: &Record, known_by: &dyn Fn(f64) -> f64) -> Vec<Violation> {
+/// Returns all violations in the record, in order of time.
+///
+/// `deemed_known_at` maps the time of a change to the time from which every node is expected to know of it,
+/// whether or not the node was notified.
+pub fn find_violations(record: &Record, deemed_known_at: &dyn Fn(f64) -> f64) -> Vec<Violation> {
     let requests = record.requests.lock().unwrap().clone();
     let attempts = record.attempts.lock().unwrap().clone();
     let changes = record.changes.lock().unwrap().clone();
-    let judge = Judge { record, requests: &requests, changes: &changes, known_by };
-    let mut found = judge.observed();
-    let by_request = by_request(&attempts);
+    let checker = Checker { record, requests: &requests, changes: &changes, deemed_known_at };
+    let mut found = checker.observed();
+    let by_request = group_by_request(&attempts);
     for (id, request) in &requests {
         let attempts = by_request.get(id).map_or(&[][..], Vec::as_slice);
-        judge.judge_request(*id, request, attempts, &mut found);
+        checker.check_request(*id, request, attempts, &mut found);
     }
     for attempt in &attempts {
-        judge.judge_attempt(attempt, &mut found);
+        checker.check_attempt(attempt, &mut found);
     }
-    judge.cold(&attempts, &mut found);
-    judge.ready(&mut found);
+    checker.slow_start_overload(&attempts, &mut found);
+    checker.readiness(&mut found);
     found.sort_by(|a, b| a.at.total_cmp(&b.at));
     found
 }
 
-fn by_request(attempts: &[ServerAttempt]) -> HashMap<u64, Vec<&ServerAttempt>> {
+fn group_by_request(attempts: &[ServerAttempt]) -> HashMap<u64, Vec<&ServerAttempt>> {
     let mut by_request: HashMap<u64, Vec<&ServerAttempt>> = HashMap::new();
     for attempt in attempts {
         by_request.entry(attempt.id).or_default().push(attempt);
@@ -59,25 +64,26 @@
     by_request
 }
 
-struct Judge<'a> {
+/// The observations of one finished run, which the rules are methods of.
+struct Checker<'a> {
     record: &'a Record,
     requests: &'a HashMap<u64, ClientRequest>,
-    changes: &'a [ChangeRecord],
-    known_by: &'a dyn Fn(f64) -> f64,
+    changes: &'a [ServerChangeRecord],
+    deemed_known_at: &'a dyn Fn(f64) -> f64,
 }
 
-impl Judge<'_> {
-    /// What a time that was seen just then may be off by, in seconds.
+impl Checker<'_> {
+    /// By how many seconds a time that was observed at `at` can be wrong.
     fn slack(&self, at: f64) -> f64 {
-        LOOPBACK_SLACK + self.record.longest_stall(at - STALL_RANGE, at)
+        LOOPBACK_SLACK_SECONDS + self.record.longest_stall(at - STALL_LOOKBACK_SECONDS, at)
     }
 
-    /// When a node knew of a change.
-    fn known_at(&self, change: &ChangeRecord, node: usize) -> f64 {
-        change.notified_at[node].min((self.known_by)(change.at))
+    /// When the node knew, or is expected to have known, of a change.
+    fn known_at(&self, change: &ServerChangeRecord, node: usize) -> f64 {
+        change.notified_at[node].min((self.deemed_known_at)(change.at))
     }
 
-    /// Violations that were seen as they happened.
+    /// The violations that the tasks of the soak saw as they happened.
     fn observed(&self) -> Vec<Violation> {
         let observed = self.record.violations.lock().unwrap().clone();
         let violation = |seen: crate::record::ObservedViolation| Violation {
@@ -88,13 +94,16 @@
         observed.into_iter().map(violation).collect()
     }
 
-    /// Rule `Ready`: nine in ten processes are ready in time.
-    fn ready(&self, found: &mut Vec<Violation>) {
+    /// [`Rule::Readiness`]: nine in ten processes are ready within `READY_LIMIT_SECONDS`.
+    fn readiness(&self, found: &mut Vec<Violation>) {
         let times = self.record.ready_times.lock().unwrap();
-        let late = times.iter().filter(|time| **time > READY_TIME).count();
+        let late = times.iter().filter(|time| **time > READY_LIMIT_SECONDS).count();
         if late * 10 > times.len() {
-            let description = format!("{late} of {} processes took over {READY_TIME} s", times.len());
-            found.push(Violation { at: self.record.now(), rule: Rule::Ready, description });
+            let description = format!(
+                "{late} of {} processes took over {READY_LIMIT_SECONDS} s to be ready",
+                times.len()
+            );
+            found.push(Violation { at: self.record.now(), rule: Rule::Readiness, description });
         }
     }
 }
--- a/fault-soak/src/oracle/request_rules.rs
+++ b/fault-soak/src/oracle/request_rules.rs
@@ -1,164 +1,175 @@
-//! The rules on one request and its attempts.
+//! The rules for one request and its attempts.
 
-use super::{HOLD_SLACK, Judge, Violation};
-use crate::record::{ClientAnswer, ClientRequest, ConnectionClose, Rule, ServerAttempt};
+use super::{Checker, HELD_WRITE_SLACK_SECONDS, Violation};
+use crate::record::{ClientRequest, ClientResponse, ConnectionClose, Rule, ServerAttempt};
 use crate::settings::{DEDUPLICATION_WINDOW, MAX_ATTEMPTS, RequestClass};
 
-/// An answer so late is lost, in seconds.
-const LOST_AFTER: f64 = 0.5;
-/// An attempt may begin so long after its client has gone, in seconds.
-const GONE_SLACK: f64 = 0.1;
-/// A server may be given this much more time than is left, in seconds.
-const DEADLINE_SLACK: f64 = 0.15;
+/// How long after its deadline a request must have a response at the latest.
+const LATE_RESPONSE_LIMIT_SECONDS: f64 = 0.5;
+/// How long after the client closed its connection an attempt may still begin.
+const ABANDONED_SLACK_SECONDS: f64 = 0.1;
+/// By how much the time that a server is given may exceed the time that the client has left.
+const DEADLINE_SLACK_SECONDS: f64 = 0.15;
 
-/// One request under judgement.
-struct Case<'a> {
+/// A request with all of its attempts that reached a server.
+struct RequestHistory<'a> {
     id: u64,
     request: &'a ClientRequest,
     attempts: &'a [&'a ServerAttempt],
 }
 
-impl Case<'_> {
-    fn violation(&self, at: f64, rule: Rule, what: &str) -> Violation {
-        let Case { id, request, .. } = self;
-        let description = format!("{id:016x} {} at node {}: {what}", request.class.name(), request.node);
+impl RequestHistory<'_> {
+    fn violation(&self, at: f64, rule: Rule, detail: &str) -> Violation {
+        let RequestHistory { id, request, .. } = self;
+        let description = format!("{id:016x} {} at node {}: {detail}", request.class.name(), request.node);
         Violation { at, rule, description }
     }
 
-    /// An attempt reached a server that did not reject it.
+    /// Whether an attempt reached a server that did not reject it.
     fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| !attempt.rejected)
     }
 }
 
-impl Judge<'_> {
-    /// Judges one request by all rules on requests.
-    pub(super) fn judge_request(
+impl Checker<'_> {
+    /// Checks one request against all rules of this module.
+    pub(super) fn check_request(
         &self,
         id: u64,
         request: &ClientRequest,
         attempts: &[&ServerAttempt],
         found: &mut Vec<Violation>,
     ) {
-        let case = Case { id, request, attempts };
-        found.extend(self.lost(&case));
-        found.extend(self.truth(&case));
-        found.extend(self.duplicate(&case));
-        found.extend(self.attempts(&case));
+        let history = RequestHistory { id, request, attempts };
+        found.extend(self.lost_response(&history));
+        found.extend(self.response_correctness(&history));
+        found.extend(self.duplicate_execution(&history));
+        found.extend(self.attempt_limit(&history));
         for attempt in attempts {
-            found.extend(self.deadline(&case, attempt));
-            found.extend(self.gone(&case, attempt));
+            found.extend(self.deadline(&history, attempt));
+            found.extend(self.abandoned_request(&history, attempt));
         }
     }
 
-    /// Rule `Lost`: one final answer in time.
-    fn lost(&self, case: &Case<'_>) -> Option<Violation> {
-        let request = case.request;
-        match &request.answer {
-            Some(answer) => self.late(case, answer),
-            None if request.left_at.is_some_and(|left_at| left_at < request.deadline()) => None,
-            None => self.unanswered(case),
+    /// [`Rule::LostResponse`]: each request gets one final response in time, unless its client closed the
+    /// connection before the deadline.
+    fn lost_response(&self, history: &RequestHistory<'_>) -> Option<Violation> {
+        let request = history.request;
+        match &request.response {
+            Some(response) => self.late_response(history, response),
+            None if request.abandoned_at.is_some_and(|at| at < request.deadline()) => None,
+            None => self.missing_response(history),
         }
     }
 
-    fn late(&self, case: &Case<'_>, answer: &ClientAnswer) -> Option<Violation> {
-        let (request, at) = (case.request, answer.at);
-        let is_late = at > request.deadline() + LOST_AFTER + self.slack(at);
+    fn late_response(&self, history: &RequestHistory<'_>, response: &ClientResponse) -> Option<Violation> {
+        let (request, at) = (history.request, response.at);
+        let is_late = at > request.deadline() + LATE_RESPONSE_LIMIT_SECONDS + self.slack(at);
         if !is_late || self.was_killed(request.node, request.sent_at, at) {
             return None;
         }
         let late_by = at - request.deadline();
-        let what = format!("answered {} {late_by:.3} s after its time", answer.status);
-        Some(case.violation(at, Rule::Lost, &what))
+        let detail = format!("got status {} {late_by:.3} s after its deadline", response.status);
+        Some(history.violation(at, Rule::LostResponse, &detail))
     }
 
-    fn unanswered(&self, case: &Case<'_>) -> Option<Violation> {
-        let request = case.request;
-        let (at, how) = match request.closed {
-            Some(ConnectionClose { at, within_answer: true }) => (at, "its answer was cut"),
-            Some(ConnectionClose { at, within_answer: false }) => (at, "closed with no answer"),
-            None => (request.deadline(), "no answer"),
+    fn missing_response(&self, history: &RequestHistory<'_>) -> Option<Violation> {
+        let request = history.request;
+        let (at, outcome) = match request.connection_close {
+            Some(ConnectionClose { at, mid_response: true }) => (at, "the response was truncated"),
+            Some(ConnectionClose { at, mid_response: false }) => (at, "closed without a response"),
+            None => (request.deadline(), "no response"),
         };
-        let is_closed_before_answer = request.closed.is_some_and(|closed| !closed.within_answer);
-        // A reused connection that ends as a request comes is no loss, unless the request was read.
-        let crossed_close = !request.new_connection && is_closed_before_answer;
-        let is_lost = !crossed_close || !case.attempts.is_empty();
+        let is_closed_before_response = request.connection_close.is_some_and(|close| !close.mid_response);
+        // A node may close an idle connection while the client writes the next request to it. The client then
+        // retries on a new connection, so the response is lost only if the node had read the request.
+        let is_close_race = !request.on_new_connection && is_closed_before_response;
+        let is_lost = !is_close_race || !history.attempts.is_empty();
         if !is_lost || self.was_killed(request.node, request.sent_at, at) {
             return None;
         }
-        let what = format!("{how}, {:.3} s after it was sent", at - request.sent_at);
-        Some(case.violation(at, Rule::Lost, &what))
+        let detail = format!("{outcome}, {:.3} s after it was sent", at - request.sent_at);
+        Some(history.violation(at, Rule::LostResponse, &detail))
     }
 
-    /// The process that had a request was killed before it could answer, or there was none yet.
+    /// Whether the node's process was killed, or its successor was not yet ready, at any time in the period.
     fn was_killed(&self, node: usize, from: f64, until: f64) -> bool {
-        let gaps = self.record.gaps.lock().unwrap();
+        let gaps = self.record.process_gaps.lock().unwrap();
         let mut kills = gaps.iter().filter(|gap| gap.node == node && gap.killed);
         let slack = self.slack(until);
         kills.any(|gap| gap.until >= from - slack && gap.from <= until + slack)
     }
 
-    /// Rule `Truth`: an answer was made by a server for this request, and a rejection does no harm.
-    fn truth(&self, case: &Case<'_>) -> Option<Violation> {
-        let ClientAnswer { status, body, .. } = case.request.answer.as_ref()?;
-        let is_made_by = |attempt: &&ServerAttempt| {
+    /// [`Rule::ResponseCorrectness`]: a response with status 200 is one that a server made for this request, and
+    /// an at-most-once request is not rejected if it may have run, because its client would send it again.
+    fn response_correctness(&self, history: &RequestHistory<'_>) -> Option<Violation> {
+        let ClientResponse { status, body, .. } = history.request.response.as_ref()?;
+        let is_from = |attempt: &&ServerAttempt| {
             body.contains(&format!("{:016x} served by {} ", attempt.id, attempt.server))
         };
-        let sent_at = case.request.sent_at;
+        let sent_at = history.request.sent_at;
         match status {
-            200 if !case.attempts.iter().any(is_made_by) => {
-                Some(case.violation(sent_at, Rule::Truth, &format!("served with {body:?}")))
+            200 if !history.attempts.iter().any(is_from) => {
+                let detail = format!("served with {body:?}");
+                Some(history.violation(sent_at, Rule::ResponseCorrectness, &detail))
             }
-            429 | 503 if case.request.class == RequestClass::Order && case.may_have_run() => {
-                let what = format!("refused with {status} though it may have run");
-                Some(case.violation(sent_at, Rule::Truth, &what))
+            429 | 503 if history.request.class == RequestClass::Order && history.may_have_run() => {
+                let detail = format!("rejected with {status} though it may have run");
+                Some(history.violation(sent_at, Rule::ResponseCorrectness, &detail))
             }
             _ => None,
         }
     }
 
-    /// Rule `Duplicate`: a request runs no more often than its class allows.
-    fn duplicate(&self, case: &Case<'_>) -> Option<Violation> {
+    /// [`Rule::DuplicateExecution`]: a request runs no more often than its class allows.
+    fn duplicate_execution(&self, history: &RequestHistory<'_>) -> Option<Violation> {
         let mut runs: Vec<f64> =
-            case.attempts.iter().filter(|a| !a.rejected).map(|a| a.complete_at).collect();
+            history.attempts.iter().filter(|a| !a.rejected).map(|a| a.last_byte_at).collect();
         runs.sort_by(f64::total_cmp);
         let (first, last) = (*runs.first()?, *runs.last()?);
-        let apart = last - first;
+        let elapsed = last - first;
         let window = DEDUPLICATION_WINDOW.as_secs_f64() + self.slack(last);
-        match case.request.class {
+        match history.request.class {
             RequestClass::Order if runs.len() > 1 => {
-                Some(case.violation(last, Rule::Duplicate, &format!("ran {} times", runs.len())))
+                let detail = format!("ran {} times", runs.len());
+                Some(history.violation(last, Rule::DuplicateExecution, &detail))
             }
-            RequestClass::Bid if apart > window => {
-                let what = format!("repeated {apart:.3} s after it had run");
-                Some(case.violation(last, Rule::Duplicate, &what))
+            RequestClass::Bid if elapsed > window => {
+                let detail = format!("repeated {elapsed:.3} s after it had run");
+                Some(history.violation(last, Rule::DuplicateExecution, &detail))
             }
             _ => None,
         }
     }
 
-    /// Rule `Attempts`: no more than allowed.
-    fn attempts(&self, case: &Case<'_>) -> Option<Violation> {
-        let count = case.attempts.len();
-        let what = format!("{count} attempts");
-        (count > MAX_ATTEMPTS).then(|| case.violation(case.request.sent_at, Rule::Attempts, &what))
+    /// [`Rule::AttemptLimit`]: a request has at most `MAX_ATTEMPTS` attempts.
+    fn attempt_limit(&self, history: &RequestHistory<'_>) -> Option<Violation> {
+        let count = history.attempts.len();
+        let detail = format!("{count} attempts");
+        (count > MAX_ATTEMPTS)
+            .then(|| history.violation(history.request.sent_at, Rule::AttemptLimit, &detail))
     }
 
-    /// Rule `Deadline`: a server is given no more time than is left.
-    fn deadline(&self, case: &Case<'_>, attempt: &ServerAttempt) -> Option<Violation> {
-        let at = attempt.complete_at;
-        let timeout = attempt.timeout?;
-        let left = case.request.deadline() - at;
-        let what = format!("told {timeout:.3} s with {left:.3} s left");
-        (timeout > left + DEADLINE_SLACK + self.slack(at))
-            .then(|| case.violation(at, Rule::Deadline, &what))
+    /// [`Rule::Deadline`]: a server is given no more time than the client has left.
+    fn deadline(&self, history: &RequestHistory<'_>, attempt: &ServerAttempt) -> Option<Violation> {
+        let at = attempt.last_byte_at;
+        let timeout = attempt.timeout_seconds?;
+        let remaining = history.request.deadline() - at;
+        let detail = format!("the server was given {timeout:.3} s with {remaining:.3} s left");
+        (timeout > remaining + DEADLINE_SLACK_SECONDS + self.slack(at))
+            .then(|| history.violation(at, Rule::Deadline, &detail))
     }
 
-    /// Rule `Gone`: no attempt begins for a client that has gone.
-    fn gone(&self, case: &Case<'_>, attempt: &ServerAttempt) -> Option<Violation> {
+    /// [`Rule::AbandonedRequest`]: no attempt begins after the client has closed its connection.
+    fn abandoned_request(
+        &self,
+        history: &RequestHistory<'_>,
+        attempt: &ServerAttempt,
+    ) -> Option<Violation> {
         let at = attempt.first_byte_at;
-        let after = at - case.request.left_at?;
-        let what = format!("sent {after:.3} s after its client left");
-        (after > GONE_SLACK + HOLD_SLACK + self.slack(at)).then(|| case.violation(at, Rule::Gone, &what))
+        let elapsed = at - history.request.abandoned_at?;
+        let detail = format!("sent {elapsed:.3} s after its client closed the connection");
+        (elapsed > ABANDONED_SLACK_SECONDS + HELD_WRITE_SLACK_SECONDS + self.slack(at))
+            .then(|| history.violation(at, Rule::AbandonedRequest, &detail))
     }
 }
--- a/fault-soak/src/proxy.rs
+++ b/fault-soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy before each server, which breaks connections on demand.
+//! Forwards TCP connections to a simulated server, and breaks them on demand.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -8,75 +8,76 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What becomes of connections.
+/// How a proxy treats its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
-    /// All goes through.
-    Passes,
-    /// What the server says does not arrive.
-    Silent,
-    /// Nobody listens, and what was open is reset.
-    Dead,
+pub enum ProxyMode {
+    /// Forwards all bytes in both directions.
+    Forwarding,
+    /// Drops what the server sends. A connection on which bytes were dropped never delivers any again.
+    DropServerOutput,
+    /// Refuses new connections. Open connections are reset on entry to this mode.
+    Down,
 }
 
-/// One proxy.
+/// The proxy in front of one server.
 pub struct Proxy {
-    /// Where nodes connect.
+    /// The address on which the proxy accepts connections of nodes.
     pub address: SocketAddr,
     server: SocketAddr,
-    mode: watch::Sender<Mode>,
-    /// Counts resets of all connections.
+    mode: watch::Sender<ProxyMode>,
+    /// Counts the resets of all connections.
     resets: watch::Sender<u32>,
-    listening: Mutex<Option<JoinHandle<()>>>,
+    /// The task that accepts connections; `None` while the proxy is down.
+    accept_task: Mutex<Option<JoinHandle<()>>>,
 }
 
 impl Proxy {
-    /// Listens at `address` for the server at `server`.
+    /// Starts a proxy that listens at `address` and forwards to the server at `server`.
     pub async fn start(address: SocketAddr, server: SocketAddr) -> Arc<Proxy> {
         let listener = listen(address);
         let proxy = Arc::new(Proxy {
             address: listener.local_addr().unwrap(),
             server,
-            mode: watch::Sender::new(Mode::Passes),
+            mode: watch::Sender::new(ProxyMode::Forwarding),
             resets: watch::Sender::new(0),
-            listening: Mutex::default(),
+            accept_task: Mutex::default(),
         });
         proxy.accept(listener);
         proxy
     }
 
-    /// From now on it does so.
-    pub async fn set(self: &Arc<Self>, mode: Mode) {
+    /// Sets the mode. Returns once the listening socket has been closed or opened accordingly.
+    pub async fn set_mode(self: &Arc<Self>, mode: ProxyMode) {
         let before = self.mode.send_replace(mode);
-        if mode == Mode::Dead {
-            let task = self.listening.lock().unwrap().take();
+        if mode == ProxyMode::Down {
+            let task = self.accept_task.lock().unwrap().take();
             if let Some(task) = task {
                 task.abort();
-                // Its listener is closed once it has ended.
+                // The task owns the listening socket, which is closed only once the task has ended.
                 let _ = task.await;
             }
             self.reset_all();
-        } else if before == Mode::Dead {
+        } else if before == ProxyMode::Down {
             self.accept(listen(self.address));
         }
     }
 
-    /// Resets what is open.
+    /// Resets all open connections.
     pub fn reset_all(&self) {
         self.resets.send_modify(|resets| *resets += 1);
     }
 
     fn accept(self: &Arc<Self>, listener: TcpListener) {
-        let own = self.clone();
+        let proxy = self.clone();
         let task = tokio::spawn(async move {
             while let Ok((node, _)) = listener.accept().await {
-                tokio::spawn(own.clone().pass(node));
+                tokio::spawn(proxy.clone().forward_connection(node));
             }
         });
-        *self.listening.lock().unwrap() = Some(task);
+        *self.accept_task.lock().unwrap() = Some(task);
     }
 
-    async fn pass(self: Arc<Self>, node: TcpStream) {
+    async fn forward_connection(self: Arc<Self>, node: TcpStream) {
         let mut resets = self.resets.subscribe();
         let Ok(server) = TcpStream::connect(self.server).await else { return };
         for stream in [&node, &server] {
@@ -95,7 +96,7 @@
     }
 }
 
-/// Listens where another listener may just have been.
+/// Listens at an address on which a previous listener may have been closed just before.
 pub fn listen(address: SocketAddr) -> TcpListener {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_reuseaddr(true).unwrap();
@@ -103,16 +104,17 @@
     socket.listen(1024).unwrap()
 }
 
-/// Passes on what comes until either side ends; with a mode, only while that lets it.
-async fn copy(from: &mut OwnedReadHalf, to: &mut OwnedWriteHalf, mode: Option<watch::Receiver<Mode>>) {
+/// Copies bytes until either side ends its connection. With a `mode`, copies only until bytes arrive in
+/// [`ProxyMode::DropServerOutput`], and then never returns.
+async fn copy(from: &mut OwnedReadHalf, to: &mut OwnedWriteHalf, mode: Option<watch::Receiver<ProxyMode>>) {
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let Ok(n) = from.read(&mut buffer).await else { return };
         if n == 0 {
             return;
         }
-        if mode.as_ref().is_some_and(|mode| *mode.borrow() == Mode::Silent) {
-            // Lost, and so is all that follows on this connection.
+        if mode.as_ref().is_some_and(|mode| *mode.borrow() == ProxyMode::DropServerOutput) {
+            // These bytes are lost. Bytes that came later would corrupt the stream, so none are forwarded either.
             return std::future::pending().await;
         }
         if to.write_all(&buffer[..n]).await.is_err() {
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -1,236 +1,263 @@
-//! What clients, servers and discovery saw: all that the oracle judges by. Times are seconds since the
-//! start.
+//! Records what the clients, the servers and discovery observed during a run.
+//!
+//! The oracle judges a run by these observations alone and not by what the nodes report about themselves. The
+//! tasks of the soak fill one shared [`Record`] while they run. All times are in seconds since the record was
+//! created, and all durations are in seconds.
 
 use crate::settings::RequestClass;
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// A shorter stall is within the slack of every rule, in seconds.
-const MIN_STALL: f64 = 0.01;
+/// A shorter stall is not recorded, because the slack of every rule covers it.
+const MIN_STALL_SECONDS: f64 = 0.01;
 
-/// The final answer of a request, as its client got it.
+/// A complete response, as the client received it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClientAnswer {
-    /// When its last byte came.
+pub struct ClientResponse {
+    /// When the last byte arrived.
     pub at: f64,
-    /// Its status.
+    /// The HTTP status code, or 0 if the status line has none.
     pub status: u16,
-    /// Its body.
+    /// The response body, with invalid UTF-8 replaced.
     pub body: String,
 }
 
-/// How a node ended a connection with no complete answer.
+/// A connection that the node closed or reset before the client had a complete response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionClose {
-    /// When.
+    /// When the client noticed the close.
     pub at: f64,
-    /// Part of an answer had come.
-    pub within_answer: bool,
+    /// Whether the client had received a part of the response.
+    pub mid_response: bool,
 }
 
-/// A request of a client, as the client saw it.
+/// A request, as its client saw it.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Its class.
+    /// Decides how often the request may run.
     pub class: RequestClass,
-    /// The node that it was sent to.
+    /// The index of the node that the request was sent to.
     pub node: usize,
-    /// When its last byte was written.
+    /// When the last byte was written; before that, when the client began to write.
     pub sent_at: f64,
-    /// How long the client waits from then on.
-    pub timeout: f64,
-    /// It is the first request on its connection.
-    pub new_connection: bool,
-    /// When the client closed its connection without an answer.
-    pub left_at: Option<f64>,
-    /// Its answer.
-    pub answer: Option<ClientAnswer>,
-    /// How the node ended the connection, if there was no answer.
-    pub closed: Option<ConnectionClose>,
+    /// How long after `sent_at` the client needs the response.
+    pub timeout_seconds: f64,
+    /// Whether the request was the first one on its connection.
+    pub on_new_connection: bool,
+    /// When the client closed the connection without a response; `None` if it did not.
+    pub abandoned_at: Option<f64>,
+    /// The response; `None` until it is complete.
+    pub response: Option<ClientResponse>,
+    /// How the node ended the connection; `None` if the client got a response or closed the connection itself.
+    pub connection_close: Option<ConnectionClose>,
 }
 
 impl ClientRequest {
-    /// When its client gives up.
+    /// When the client no longer needs the response.
     pub fn deadline(&self) -> f64 {
-        self.sent_at + self.timeout
+        self.sent_at + self.timeout_seconds
     }
 }
 
-/// An attempt at a request, as a server saw it.
+/// An attempt at a request, as the server that received it saw it.
 #[derive(Clone, Debug)]
 pub struct ServerAttempt {
-    /// Id of the request.
+    /// The id of the client's request.
     pub id: u64,
-    /// The server.
+    /// The index of the server.
     pub server: usize,
-    /// When its first byte came.
+    /// When the first byte arrived.
     pub first_byte_at: f64,
-    /// When its last byte came: from then on it may run.
-    pub complete_at: f64,
-    /// How long the node said that it waits.
-    pub timeout: Option<f64>,
-    /// The server said that it never ran.
+    /// When the last byte arrived. The server may run the request from then on.
+    pub last_byte_at: f64,
+    /// The time that the node left the server for a response; `None` if the attempt had no valid header for it.
+    pub timeout_seconds: Option<f64>,
+    /// Whether the server answered that it did not run the request.
     pub rejected: bool,
 }
 
-/// A change to a server that nodes have to go by.
+/// A change to a server that the nodes must act on once they know of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerChange {
-    /// It is to get nothing more.
+    /// The server must receive no new requests.
     Withdrawn,
-    /// It may be sent to.
+    /// The server may receive requests, at its full capacity.
     InService,
-    /// It has started, and is in slow start.
+    /// The server has restarted and is in slow start.
     Restarted,
 }
 
-/// When a change was made, and when each node was notified of it.
+/// One change to a server, with the times at which the nodes were notified of it.
 #[derive(Clone, Debug)]
-pub struct ChangeRecord {
-    /// The server.
+pub struct ServerChangeRecord {
+    /// The index of the server.
     pub server: usize,
-    /// What changed.
+    /// The new condition of the server.
     pub change: ServerChange,
-    /// When.
+    /// When discovery got the change.
     pub at: f64,
-    /// Discovery's count of changes.
+    /// Discovery's internal version of the list with this change.
     pub version: u64,
-    /// When each node's process at that time was notified, infinite if it was not.
+    /// For each node, by index, when it was notified; infinite if it was not.
     pub notified_at: Vec<f64>,
 }
 
-/// A time in which the operators had a server out of service at one node.
+/// A period in which a server was disabled at one node by an admin command.
 #[derive(Clone, Debug)]
 pub struct DisabledPeriod {
-    /// The node.
+    /// The index of the node.
     pub node: usize,
-    /// The server.
+    /// The index of the server.
     pub server: usize,
-    /// When it counts from: the `done` of the command.
+    /// When the node acknowledged the command that disabled the server.
     pub from: f64,
-    /// When the command that put the server back was given.
+    /// When the command that enabled the server again was sent; infinite until then.
     pub until: f64,
 }
 
-/// A time in which a node's process was killed or ended.
+/// A period in which a node's process was being stopped, or its successor was starting.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessGap {
-    /// The node.
+    /// The index of the node.
     pub node: usize,
-    /// When it was killed or terminated.
+    /// When SIGTERM or SIGKILL was sent.
     pub from: f64,
-    /// It was killed: what it had is lost, and what came before the next process was ready may be late.
+    /// Whether the signal was SIGKILL. The requests that the process held are then lost, and requests that
+    /// arrive before the next process is ready may be answered late.
     pub killed: bool,
-    /// When the next process was ready.
+    /// When the next process was ready; infinite until then.
     pub until: f64,
 }
 
-/// A violation that was seen as it happened.
+/// A violation that a task of the soak saw as it happened.
 #[derive(Clone, Debug)]
 pub struct ObservedViolation {
-    /// When.
+    /// When it was seen.
     pub at: f64,
-    /// Of which rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// What happened.
+    /// The node or request concerned, and what was seen.
     pub description: String,
 }
 
-/// When this program itself was late, and by how much.
+/// A delay in the scheduling of this program itself.
 #[derive(Clone, Copy, Debug)]
 struct Stall {
+    /// When the stall ended.
     at: f64,
-    late_by: f64,
+    duration_seconds: f64,
 }
 
-/// All that was seen.
+/// Everything that was observed in one run.
 pub struct Record {
     start: Instant,
-    /// Requests of clients, by id.
+    /// The requests of all clients, by id.
     pub requests: Mutex<HashMap<u64, ClientRequest>>,
-    /// Attempts that reached servers.
+    /// The attempts that reached a server, in the order of their last bytes.
     pub attempts: Mutex<Vec<ServerAttempt>>,
-    /// Changes to servers.
-    pub changes: Mutex<Vec<ChangeRecord>>,
-    /// Servers that the operators had out of service.
-    pub disabled: Mutex<Vec<DisabledPeriod>>,
-    /// Ends of processes.
-    pub gaps: Mutex<Vec<ProcessGap>>,
-    /// Violations that were seen as they happened.
+    /// The changes to servers, in the order in which discovery got them.
+    pub changes: Mutex<Vec<ServerChangeRecord>>,
+    /// The periods in which a server was disabled at a node.
+    pub disabled_periods: Mutex<Vec<DisabledPeriod>>,
+    /// The intended stops of node processes.
+    pub process_gaps: Mutex<Vec<ProcessGap>>,
+    /// Violations that the tasks of the soak saw as they happened.
     pub violations: Mutex<Vec<ObservedViolation>>,
-    /// How long each process that was started anew took to be ready.
+    /// How long each process took to become ready; processes that an upgrade starts are not included.
     pub ready_times: Mutex<Vec<f64>>,
     stalls: Mutex<Vec<Stall>>,
 }
 
-/// The rules that the oracle holds.
+/// A rule that the oracle checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// Each request gets one final answer in time.
-    Lost,
-    /// None runs more often than its class allows.
-    Duplicate,
-    /// Nothing new goes to a server that was withdrawn.
-    Drain,
-    /// No server in slow start is overloaded.
-    Cold,
-    /// No attempt begins for a client that has gone.
-    Gone,
-    /// No server is given more time than the client has.
+    /// Each request gets one final response in time.
+    LostResponse,
+    /// No request runs more often than its class allows, and no server receives a request that no client sent.
+    DuplicateExecution,
+    /// A server that was withdrawn receives no new requests.
+    WithdrawnServer,
+    /// A server in slow start is not overloaded.
+    SlowStartOverload,
+    /// No attempt begins after its client has closed the connection.
+    AbandonedRequest,
+    /// No server is given more time than the client has left.
     Deadline,
-    /// Answers are those of a server to this request; rejections do no harm.
-    Truth,
-    /// There are no more attempts than allowed.
-    Attempts,
-    /// No process ends by itself, and each ends in time after SIGTERM.
-    Process,
-    /// An acknowledged command stays in effect.
-    Done,
-    /// A malformed client gets an error or a close in time.
-    Rude,
-    /// Nine in ten processes are ready in time.
-    Ready,
-    /// No process has counted a violation itself.
-    Counted,
+    /// A response to a client is one that a server made for this request, and a rejection is safe to retry.
+    ResponseCorrectness,
+    /// No request has more attempts than the settings allow.
+    AttemptLimit,
+    /// No process exits by itself or panics, and each exits in time after SIGTERM.
+    ProcessExit,
+    /// A server that an acknowledged admin command disabled receives no requests.
+    AcknowledgedDisable,
+    /// A client that sends an incomplete request gets an error or a close in time.
+    MalformedRequest,
+    /// Nine in ten processes become ready in time.
+    Readiness,
+    /// No process reports a violation in its own log.
+    SelfReportedViolation,
+}
+
+impl Rule {
+    /// The name that is printed with a violation, and under which `docs/fault-soak.md` describes the rule.
+    pub fn name(self) -> &'static str {
+        match self {
+            Rule::LostResponse => "Lost",
+            Rule::DuplicateExecution => "Duplicate",
+            Rule::WithdrawnServer => "Drain",
+            Rule::SlowStartOverload => "Cold",
+            Rule::AbandonedRequest => "Gone",
+            Rule::Deadline => "Deadline",
+            Rule::ResponseCorrectness => "Truth",
+            Rule::AttemptLimit => "Attempts",
+            Rule::ProcessExit => "Process",
+            Rule::AcknowledgedDisable => "Done",
+            Rule::MalformedRequest => "Rude",
+            Rule::Readiness => "Ready",
+            Rule::SelfReportedViolation => "Counted",
+        }
+    }
 }
 
 impl Record {
-    /// A record in which nothing was seen.
+    /// Creates an empty record whose times count from `start`.
     pub fn new(start: Instant) -> Record {
         Record {
             start,
             requests: Mutex::default(),
             attempts: Mutex::default(),
             changes: Mutex::default(),
-            disabled: Mutex::default(),
-            gaps: Mutex::default(),
+            disabled_periods: Mutex::default(),
+            process_gaps: Mutex::default(),
             violations: Mutex::default(),
             ready_times: Mutex::default(),
             stalls: Mutex::default(),
         }
     }
 
-    /// Seconds since the start.
+    /// The time since the start of the record.
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// Notes that this program was late by so much, just now.
-    pub fn record_stall(&self, late_by: f64) {
-        if late_by > MIN_STALL {
-            self.stalls.lock().unwrap().push(Stall { at: self.now(), late_by });
+    /// Records a stall of this program that ends now, unless it is too short to matter.
+    pub fn record_stall(&self, duration_seconds: f64) {
+        if duration_seconds > MIN_STALL_SECONDS {
+            self.stalls.lock().unwrap().push(Stall { at: self.now(), duration_seconds });
         }
     }
 
-    /// How late this program was at the most between two times.
+    /// The longest stall that overlaps the period; 0 if none does.
     pub fn longest_stall(&self, from: f64, until: f64) -> f64 {
         let stalls = self.stalls.lock().unwrap();
-        let inside = stalls.iter().filter(|stall| stall.at >= from && stall.at - stall.late_by <= until);
-        inside.map(|stall| stall.late_by).fold(0.0, f64::max)
+        let overlapping =
+            stalls.iter().filter(|stall| stall.at >= from && stall.at - stall.duration_seconds <= until);
+        overlapping.map(|stall| stall.duration_seconds).fold(0.0, f64::max)
     }
 
-    /// Notes a violation that was seen.
+    /// Records a violation that was seen just now.
     pub fn record_violation(&self, rule: Rule, description: String) {
         let violation = ObservedViolation { at: self.now(), rule, description };
         self.violations.lock().unwrap().push(violation);
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -1,14 +1,15 @@
-//! One run: everything is started, faults come as planned, and what was seen is judged.
+//! Plays one run: starts all parts of the deployment, injects the scheduled faults under load, and has the oracle
+//! check the record.
 
 use crate::client::Clients;
 use crate::discovery::Discovery;
 use crate::faults::{SyscallFault, SyscallFaults};
-use crate::node::{Node, Site, free_address};
+use crate::node::{Deployment, Node, free_address};
 use crate::oracle::{self, Violation};
 use crate::record::Record;
 use crate::schedule::{FleetSize, ScheduledFault};
-use crate::server::{CORES, Server, WORK};
-use crate::settings::{Addresses, Shape, settings};
+use crate::server::{CORES, MEAN_SERVICE_TIME, Server};
+use crate::settings::{NodeAddresses, RunParameters, settings};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -16,56 +17,59 @@
 use tokio::runtime::Builder;
 use tokio::task::JoinSet;
 
-/// Of all nodes, those that have a socket and a folder that last.
-const LASTING_PART: usize = 3;
-/// Clients for each node.
+/// One in this many nodes is persistent.
+const PERSISTENT_ONE_IN: usize = 3;
+/// The number of clients for each node.
 const CLIENTS_PER_NODE: u64 = 6;
-/// What is still open after the last request is waited for.
-const LAST_ANSWERS: Duration = Duration::from_secs(4);
-/// A fault that is under way when clients stop ends by itself, within this.
-const LAST_FAULTS: Duration = Duration::from_secs(30);
-/// How often nodes are looked after.
-const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long this program may be late before a run says nothing, in seconds.
-const MAX_STALL: f64 = 0.3;
+/// How long to wait, once clients send no more requests, for the responses that are still due.
+const LAST_RESPONSES_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long to wait, once clients send no more requests, for the faults that are still in effect.
+const LAST_FAULTS_TIMEOUT: Duration = Duration::from_secs(30);
+/// The time between two checks whether a process has exited by itself.
+const NODE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// A run with a longer stall of this program is not judged, because its observations are too inaccurate.
+const MAX_STALL_SECONDS: f64 = 0.3;
+/// The time between two measurements of the stalls of this program.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a process is suspended in a slow write, and how much a short call moves.
-const HOLD_MS: i64 = 150;
-const SHORT_BYTES: i64 = 7;
+/// How long a process is suspended in a write by [`crate::schedule::Fault::HeldWrites`].
+const HELD_WRITE_MS: i64 = 150;
+/// How many bytes a shortened read or write transfers.
+const SHORT_IO_BYTES: i64 = 7;
+/// The number of threads that run the simulated clients, servers and discovery.
 const WORKER_THREADS: usize = 3;
 
-/// What is to be played.
+/// The description of a run to play.
 pub struct Plan {
-    /// Of the load, and of what is not in the schedule.
+    /// Determines the random choices that are not in the schedule, such as those of the clients.
     pub seed: u64,
-    /// The faults.
+    /// The schedule of faults, which need not be the one of the seed.
     pub faults: Vec<ScheduledFault>,
-    /// For how long clients ask.
-    pub length: Duration,
-    /// How many nodes.
+    /// For how long clients send requests.
+    pub duration: Duration,
+    /// The number of nodes.
     pub nodes: usize,
-    /// How many servers.
+    /// The number of servers.
     pub servers: usize,
-    /// The node's program.
+    /// The path of the node's executable.
     pub program: PathBuf,
-    /// The folder for logs.
+    /// The folder to which the logs and configuration files are copied; `None` to discard them.
     pub logs: Option<PathBuf>,
 }
 
-/// How a run ended.
+/// The result of a run.
 pub struct RunReport {
-    /// In one line.
+    /// One line with the parameters and the counts of the run.
     pub summary: String,
-    /// What broke.
+    /// The violations that the oracle found; empty if the run was not judged.
     pub violations: Vec<Violation>,
 }
 
-/// The sizes that faults are drawn for.
-pub fn fleet_size(nodes: usize, servers: usize, length_ms: u64) -> FleetSize {
-    FleetSize { nodes, first_lasting: nodes - nodes / LASTING_PART, servers, length_ms }
+/// The limits for drawing the faults of a run.
+pub fn fleet_size(nodes: usize, servers: usize, duration_ms: u64) -> FleetSize {
+    FleetSize { nodes, first_persistent: nodes - nodes / PERSISTENT_ONE_IN, servers, duration_ms }
 }
 
-/// Plays a run from start to end.
+/// Plays a run and returns once all its processes have exited.
 pub fn play(plan: &Plan) -> RunReport {
     let runtime = Builder::new_multi_thread().worker_threads(WORKER_THREADS).enable_all().build().unwrap();
     let report = runtime.block_on(Run::play(plan));
@@ -73,16 +77,17 @@
     report
 }
 
-/// A run under way.
+/// The parts of a run in progress.
 pub struct Run {
     pub(crate) record: Arc<Record>,
     pub(crate) servers: Vec<Arc<Server>>,
     pub(crate) discovery: Arc<Discovery>,
     pub(crate) clients: Arc<Clients>,
     pub(crate) nodes: Vec<Arc<Node>>,
+    /// By how much the wall clock of the nodes is stepped in total.
     pub(crate) wall_offset_ms: AtomicI64,
-    shape: Shape,
-    /// When clients began to ask, in seconds since the start.
+    parameters: RunParameters,
+    /// When clients began to send requests, in seconds since the start of the record.
     load_began_at: Mutex<f64>,
 }
 
@@ -99,7 +104,7 @@
         run.load_and_inject(plan).await;
         run.for_each_node(|node| async move { node.finish().await }).await;
         stalls.abort();
-        let violations = oracle::judge(&record, &|at| run.discovery.known_by(at));
+        let violations = oracle::find_violations(&record, &|at| run.discovery.deemed_known_at(at));
         let report = run.report(violations);
         if let Some(logs) = &plan.logs {
             copy_files(&folder, logs);
@@ -108,54 +113,59 @@
         report
     }
 
-    async fn for_each_node<F>(&self, act: impl Fn(Arc<Node>) -> F)
+    /// Runs an action on all nodes at once, and waits until all have finished.
+    async fn for_each_node<F>(&self, action: impl Fn(Arc<Node>) -> F)
     where
         F: Future<Output = ()> + Send + 'static,
     {
-        let mut acts = JoinSet::new();
+        let mut actions = JoinSet::new();
         for node in &self.nodes {
-            acts.spawn(act(node.clone()));
+            actions.spawn(action(node.clone()));
         }
-        acts.join_all().await;
+        actions.join_all().await;
     }
 
+    /// Starts the servers and discovery, and creates the clients and nodes without starting them.
     async fn set_up(plan: &Plan, record: Arc<Record>, folder: PathBuf) -> Run {
-        let shape = Shape::draw(plan.seed);
+        let parameters = RunParameters::draw(plan.seed);
         let mut servers = Vec::new();
-        for number in 0..plan.servers {
-            servers.push(Server::start(number, free_address(), record.clone()).await);
+        for index in 0..plan.servers {
+            servers.push(Server::start(index, free_address(), record.clone()).await);
         }
-        let addresses: Vec<Addresses> = (0..plan.nodes).map(|_| node_addresses()).collect();
+        let addresses: Vec<NodeAddresses> = (0..plan.nodes).map(|_| new_node_addresses()).collect();
         let endpoints: Vec<_> = servers.iter().map(|server| server.address).collect();
-        let of_discovery: Vec<_> = addresses.iter().map(|node| node.discovery).collect();
-        let discovery = Discovery::start(&endpoints, &of_discovery, shape.discovery, record.clone());
-        let entries = addresses.iter().map(|node| node.listen).collect();
-        let clients = Clients::new(entries, record.clone(), plan.seed);
-        let site = Arc::new(Site {
+        let discovery_addresses: Vec<_> = addresses.iter().map(|node| node.discovery).collect();
+        let discovery =
+            Discovery::start(&endpoints, &discovery_addresses, parameters.discovery, record.clone());
+        let listen_addresses = addresses.iter().map(|node| node.listen).collect();
+        let clients = Clients::new(listen_addresses, record.clone(), plan.seed);
+        let deployment = Arc::new(Deployment {
             program: plan.program.clone(),
             folder,
-            peers: addresses.iter().map(|node| node.peers).collect(),
-            settings: (0..plan.nodes).map(|index| settings(shape.discovery, plan.nodes, index)).collect(),
+            peers: addresses.iter().map(|node| node.peer_listen).collect(),
+            settings: (0..plan.nodes)
+                .map(|index| settings(parameters.discovery, plan.nodes, index))
+                .collect(),
             discovery: discovery.clone(),
             clients: clients.clone(),
             record: record.clone(),
             seed: plan.seed,
-            sockets: shape.sockets,
+            sockets: parameters.sockets,
         });
-        let nodes = start_nodes(plan, addresses, &site);
+        let nodes = create_nodes(plan, addresses, &deployment);
         let wall_offset_ms = AtomicI64::new(0);
         let load_began_at = Mutex::new(0.0);
-        Run { record, servers, discovery, clients, nodes, wall_offset_ms, shape, load_began_at }
+        Run { record, servers, discovery, clients, nodes, wall_offset_ms, parameters, load_began_at }
     }
 
-    /// Has clients ask, and injects the faults at their times.
+    /// Runs the clients for the duration of the plan, and injects the faults at their times.
     async fn load_and_inject(self: &Arc<Self>, plan: &Plan) {
-        let capacity = plan.servers as f64 * CORES as f64 / WORK.as_secs_f64();
+        let capacity = plan.servers as f64 * CORES as f64 / MEAN_SERVICE_TIME.as_secs_f64();
         let count = CLIENTS_PER_NODE * plan.nodes as u64;
-        let mean = Duration::from_secs_f64(count as f64 / (capacity * self.shape.load));
+        let mean_pause = Duration::from_secs_f64(count as f64 / (capacity * self.parameters.load));
         let mut clients = JoinSet::new();
         for number in 0..count {
-            clients.spawn(self.clients.clone().run(number, mean));
+            clients.spawn(self.clients.clone().run_client(number, mean_pause));
         }
         let began_at = Instant::now();
         *self.load_began_at.lock().unwrap() = self.record.now();
@@ -168,45 +178,47 @@
             });
         }
         let checks = tokio::spawn(self.clone().check_nodes());
-        tokio::time::sleep_until((began_at + plan.length).into()).await;
-        self.clients.over.store(true, Ordering::SeqCst);
-        let _ = tokio::time::timeout(LAST_FAULTS, faults.join_all()).await;
-        let _ = tokio::time::timeout(LAST_ANSWERS, clients.join_all()).await;
+        tokio::time::sleep_until((began_at + plan.duration).into()).await;
+        self.clients.stopped.store(true, Ordering::SeqCst);
+        let _ = tokio::time::timeout(LAST_FAULTS_TIMEOUT, faults.join_all()).await;
+        let _ = tokio::time::timeout(LAST_RESPONSES_TIMEOUT, clients.join_all()).await;
         checks.abort();
     }
 
+    /// Restarts processes that have exited by themselves, until the task is aborted.
     async fn check_nodes(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(CHECK_INTERVAL).await;
+            tokio::time::sleep(NODE_CHECK_INTERVAL).await;
             for node in &self.nodes {
-                node.check().await;
+                node.restart_if_exited().await;
             }
         }
     }
 
+    /// Summarizes the run. Discards the violations if a stall makes the run unfit to be judged.
     fn report(&self, mut violations: Vec<Violation>) -> RunReport {
         let requests = self.record.requests.lock().unwrap();
-        let count_status = |wanted: fn(u16) -> bool| {
-            let answers = requests.values().filter_map(|request| request.answer.as_ref());
-            answers.filter(|answer| wanted(answer.status)).count()
+        let count_status = |matches_status: fn(u16) -> bool| {
+            let responses = requests.values().filter_map(|request| request.response.as_ref());
+            responses.filter(|response| matches_status(response.status)).count()
         };
         let served = count_status(|status| status == 200);
         let rejected = count_status(|status| matches!(status, 429 | 503));
         let failed = count_status(|status| !matches!(status, 200 | 429 | 503));
-        let left = requests.values().filter(|request| request.left_at.is_some()).count();
-        let unanswered = requests.len() - served - rejected - failed - left;
+        let abandoned = requests.values().filter(|request| request.abandoned_at.is_some()).count();
+        let unanswered = requests.len() - served - rejected - failed - abandoned;
         let began_at = *self.load_began_at.lock().unwrap();
         let stall = self.record.longest_stall(began_at, f64::INFINITY);
         let attempts = self.record.attempts.lock().unwrap().len();
-        let is_judged = stall <= MAX_STALL;
+        let is_judged = stall <= MAX_STALL_SECONDS;
         if !is_judged {
             violations.clear();
         }
-        let judged = if is_judged { "judged" } else { "not judged: this program was late" };
+        let judgement = if is_judged { "judged" } else { "not judged: this program stalled for too long" };
         let summary = format!(
-            "{:?}; {} requests: {served} served, {rejected} refused, {failed} failed, {left} left, \
-             {unanswered} without answer; {attempts} attempts, {} breaks, late by {:.0} ms at most, {judged}",
-            self.shape,
+            "{:?}; {} requests: {served} served, {rejected} refused, {failed} failed, {abandoned} left early, \
+             {unanswered} without response; {attempts} attempts, {} violations, longest stall {:.0} ms, {judgement}",
+            self.parameters,
             requests.len(),
             violations.len(),
             stall * 1000.0
@@ -215,17 +227,25 @@
     }
 }
 
-fn node_addresses() -> Addresses {
-    Addresses { listen: free_address(), peers: free_address(), discovery: [free_address(), free_address()] }
+fn new_node_addresses() -> NodeAddresses {
+    NodeAddresses {
+        listen: free_address(),
+        peer_listen: free_address(),
+        discovery: [free_address(), free_address()],
+    }
 }
 
-fn start_nodes(plan: &Plan, addresses: Vec<Addresses>, site: &Arc<Site>) -> Vec<Arc<Node>> {
-    let first_lasting = fleet_size(plan.nodes, plan.servers, 0).first_lasting;
-    let node = |(number, addresses)| {
-        let faults = Arc::new(SyscallFaults::new(plan.seed as i64 * 1000 + number as i64));
-        faults.set(SyscallFault::ShortBytes, SHORT_BYTES);
-        faults.set(SyscallFault::HoldMs, HOLD_MS);
-        Node::new(number, addresses, number >= first_lasting, faults, site.clone())
+fn create_nodes(
+    plan: &Plan,
+    addresses: Vec<NodeAddresses>,
+    deployment: &Arc<Deployment>,
+) -> Vec<Arc<Node>> {
+    let first_persistent = fleet_size(plan.nodes, plan.servers, 0).first_persistent;
+    let node = |(index, addresses)| {
+        let faults = Arc::new(SyscallFaults::new(plan.seed as i64 * 1000 + index as i64));
+        faults.set(SyscallFault::ShortBytes, SHORT_IO_BYTES);
+        faults.set(SyscallFault::HoldMs, HELD_WRITE_MS);
+        Node::new(index, addresses, index >= first_persistent, faults, deployment.clone())
     };
     addresses.into_iter().enumerate().map(node).collect()
 }
@@ -237,7 +257,7 @@
     }
 }
 
-/// Notes how late this program itself is: what it saw is no sharper than that.
+/// Measures the stalls of this program itself, which limit the accuracy of the times in the record.
 async fn record_stalls(record: Arc<Record>) {
     loop {
         let before = Instant::now();
--- a/fault-soak/src/schedule.rs
+++ b/fault-soak/src/schedule.rs
@@ -1,123 +1,161 @@
-//! What goes wrong, and when: drawn from a seed, printed, and read again to be replayed or shortened.
+//! Generates, prints and parses the schedule of the faults of a run.
+//!
+//! A failure that a random run finds is useful only if the run can be repeated. Therefore a seed determines its
+//! schedule, and a schedule can be printed as JSON lines and parsed again, to be replayed or shortened.
 
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
 use std::fmt::{self, Display, Formatter};
 use std::ops::Range;
 
-/// One kind of fault. Spans are milliseconds; nodes and servers are named by their number.
+/// A fault to inject.
+///
+/// `node` and `server` are indexes, fields whose names end in `_ms` are in milliseconds, and a rate `one_in` of N
+/// fails one call in N. The serialized names are part of the format of schedules, which are kept to be replayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
-#[allow(missing_docs, reason = "the fields are named by their unit or by what they number")]
+#[allow(missing_docs, reason = "the fields are explained together at the enum")]
 pub enum Fault {
-    /// SIGTERM, and a new process once it has ended.
-    Terminate { node: usize },
-    /// SIGKILL, and a new process.
-    Kill { node: usize, down_ms: u64 },
-    /// SIGKILL to a part of the nodes, in hundredths, and new processes.
-    Herd { percent: usize, down_ms: u64 },
-    /// Half of the servers are replaced within so long.
-    Release { for_ms: u64 },
-    /// Clients write several requests at once.
-    Pipeline { node: usize, count: usize },
-    /// A new configuration that moves discovery, and SIGHUP.
-    Reload { node: usize },
-    /// A new process alongside the old one, which is terminated once the new one is ready.
-    Upgrade { node: usize },
-    /// SIGSTOP and SIGCONT.
-    HoldUp { node: usize, for_ms: u64 },
-    /// Operators empty a node and put it back to work.
+    /// Stops a node with SIGTERM, and starts a new process once the old one has exited.
+    #[serde(rename = "terminate")]
+    TerminateNode { node: usize },
+    /// Kills a node with SIGKILL, and starts a new process after `down_ms`.
+    #[serde(rename = "kill")]
+    KillNode { node: usize, down_ms: u64 },
+    /// Kills the first `percent` of the nodes at once, and starts new processes after `down_ms`.
+    #[serde(rename = "herd")]
+    KillManyNodes { percent: usize, down_ms: u64 },
+    /// Replaces half of the servers; the replacements begin one after another, within `for_ms`.
+    #[serde(rename = "release")]
+    RollingReplacement { for_ms: u64 },
+    /// A client writes `count` requests at once on one connection.
+    #[serde(rename = "pipeline")]
+    PipelinedRequests { node: usize, count: usize },
+    /// Changes the address of discovery in the configuration of a node, and sends SIGHUP.
+    #[serde(rename = "reload")]
+    ReloadNode { node: usize },
+    /// Starts a new process alongside the old one, and terminates the old one once the new one is ready.
+    #[serde(rename = "upgrade")]
+    UpgradeNode { node: usize },
+    /// Suspends a node with SIGSTOP, and resumes it with SIGCONT.
+    #[serde(rename = "hold-up")]
+    SuspendNode { node: usize, for_ms: u64 },
+    /// Drains a node by an admin command, and resumes it by another.
     DrainNode { node: usize, for_ms: u64 },
-    /// Operators take a server out of service at a node and put it back.
-    Ban { node: usize, server: usize, for_ms: u64 },
-    /// The list says that a server drains, then that it is back.
-    Drain { server: usize, for_ms: u64 },
-    /// The list drops a server, which ends a while later, and has it back, in slow start.
-    Replace { server: usize, for_ms: u64 },
-    /// A server dies and comes back in slow start; discovery is late to say so.
-    Crash { server: usize, for_ms: u64 },
-    /// A server says nothing more to what it gets.
-    Hang { server: usize, for_ms: u64 },
-    /// A server answers some requests with errors.
-    Errors { server: usize, for_ms: u64 },
-    /// A server turns all away.
-    Full { server: usize, for_ms: u64 },
-    /// A server is several times slower.
-    Slow { server: usize, for_ms: u64 },
-    /// Answers of a server are cut in the middle or garbled.
-    Spoil { server: usize, for_ms: u64 },
-    /// All connections to a server are reset.
-    ResetAll { server: usize },
-    /// What a server says does not arrive.
-    Silence { server: usize, for_ms: u64 },
-    /// Discovery refuses all calls.
+    /// Disables a server at one node by an admin command, and enables it by another.
+    #[serde(rename = "ban")]
+    DisableServer { node: usize, server: usize, for_ms: u64 },
+    /// Discovery lists a server as draining, and then as up again.
+    #[serde(rename = "drain")]
+    DrainServer { server: usize, for_ms: u64 },
+    /// Discovery removes a server, which stops a while later, and then lists it again, in slow start.
+    #[serde(rename = "replace")]
+    ReplaceServer { server: usize, for_ms: u64 },
+    /// A server crashes and restarts in slow start; discovery removes it only some time after the crash.
+    #[serde(rename = "crash")]
+    CrashServer { server: usize, for_ms: u64 },
+    /// A server does not respond to the requests that it receives.
+    #[serde(rename = "hang")]
+    HangServer { server: usize, for_ms: u64 },
+    /// A server responds to some requests with errors.
+    #[serde(rename = "errors")]
+    ServerErrors { server: usize, for_ms: u64 },
+    /// A server rejects all requests.
+    #[serde(rename = "full")]
+    RejectRequests { server: usize, for_ms: u64 },
+    /// A server is several times slower than usual.
+    #[serde(rename = "slow")]
+    SlowServer { server: usize, for_ms: u64 },
+    /// A server truncates or garbles some of its responses.
+    #[serde(rename = "spoil")]
+    CorruptResponses { server: usize, for_ms: u64 },
+    /// Resets all open connections to a server.
+    #[serde(rename = "reset-all")]
+    ResetConnections { server: usize },
+    /// Drops all bytes that a server sends.
+    #[serde(rename = "silence")]
+    DropServerOutput { server: usize, for_ms: u64 },
+    /// Discovery closes all connections and resets new ones.
     DiscoveryDown { for_ms: u64 },
-    /// Discovery answers late.
+    /// Discovery responds late.
     DiscoverySlow { for_ms: u64 },
-    /// Open watches and new calls get no answer.
+    /// Discovery leaves open watches and new calls without a response.
     DiscoverySilent { for_ms: u64 },
-    /// The count of versions begins anew.
-    CountAnew,
-    /// Half as many requests again come.
-    Burst { for_ms: u64 },
-    /// Clients leave early.
-    Leave { for_ms: u64 },
-    /// Clients send half a request and stay.
-    HalfRequests { node: usize, count: usize },
-    /// Idle clients take descriptors.
-    IdleClients { node: usize, count: usize },
-    /// The wall clock of all nodes is stepped.
+    /// Discovery restarts the numbering of its versions at a lower number.
+    #[serde(rename = "count-anew")]
+    RestartVersions,
+    /// Clients shorten the pauses between their requests, so that half as many requests again arrive.
+    #[serde(rename = "burst")]
+    LoadBurst { for_ms: u64 },
+    /// Many clients close their connections before the response.
+    #[serde(rename = "leave")]
+    AbandonRequests { for_ms: u64 },
+    /// `count` clients each send a part of a request and keep the connection open.
+    #[serde(rename = "half-requests")]
+    PartialRequests { node: usize, count: usize },
+    /// `count` clients open a connection and send nothing, so that the node runs short of descriptors.
+    #[serde(rename = "idle-clients")]
+    IdleConnections { node: usize, count: usize },
+    /// Steps the wall clock of all nodes.
     StepClock { by_ms: i64 },
-    /// Calls on sockets are interrupted and short.
-    Interrupt { node: usize, one_in: i64, for_ms: u64 },
-    /// Accept, socket and connect fail for a moment.
-    LocalFailures { node: usize, one_in: i64, for_ms: u64 },
-    /// The process is suspended between its clock and its writes.
-    SlowWrites { node: usize, one_in: i64, for_ms: u64 },
-    /// Writes and syncs of files fail.
-    DiskFails { node: usize, for_ms: u64 },
+    /// System calls on sockets are interrupted or transfer only a few bytes.
+    #[serde(rename = "interrupt")]
+    InterruptedCalls { node: usize, one_in: i64, for_ms: u64 },
+    /// The system calls `accept`, `socket` and `connect` fail.
+    #[serde(rename = "local-failures")]
+    SocketFailures { node: usize, one_in: i64, for_ms: u64 },
+    /// The process is suspended between a read of its clock and the write that follows.
+    #[serde(rename = "slow-writes")]
+    HeldWrites { node: usize, one_in: i64, for_ms: u64 },
+    /// Writes, syncs and renames of files fail.
+    #[serde(rename = "disk-fails")]
+    DiskFailures { node: usize, for_ms: u64 },
 }
 
-/// One fault at its time.
+/// A fault, with the time at which it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScheduledFault {
-    /// Since the start of the load, in milliseconds.
+    /// In milliseconds since the clients began to send requests.
     pub at_ms: u64,
-    /// The fault.
+    /// The fault, which also carries its own duration.
     #[serde(flatten)]
     pub fault: Fault,
 }
 
-/// Sizes that faults are drawn for.
+/// The size and duration of a run, which limit the faults that can be drawn for it.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// Nodes; those from `first_lasting` on have a listening socket and a folder that last.
+    /// The number of nodes.
     pub nodes: usize,
-    /// See `nodes`.
-    pub first_lasting: usize,
-    /// Servers.
+    /// The index of the first node whose listening socket and state folder outlive its processes; all nodes after
+    /// it are of the same kind. Only these nodes can be upgraded.
+    pub first_persistent: usize,
+    /// The number of servers.
     pub servers: usize,
-    /// For how long clients ask, in milliseconds.
-    pub length_ms: u64,
+    /// For how long clients send requests, in milliseconds.
+    pub duration_ms: u64,
 }
 
-/// Nothing happens before this, so that nodes know their servers, and nothing begins this long before the
-/// end.
-const QUIET_MS: u64 = 2000;
-/// Faults come in groups that overlap: so far apart at most, and so long from one group to the next.
+/// No fault begins within this time after the start, so that the nodes get to know their servers, and no group of
+/// faults begins within this time before the end.
+const QUIET_PERIOD_MS: u64 = 2000;
+/// The faults of a group begin within this time of each other, so that they overlap.
 const GROUP_SPREAD_MS: u64 = 600;
+/// The range of the time from the beginning of one group of faults to that of the next.
 const GROUP_INTERVAL_MS: Range<u64> = 900..2600;
 
-/// The faults of a seed.
+/// Draws the faults of a seed, in order of time.
+///
+/// The order of the random draws is part of the meaning of a seed: a change to it gives every seed another schedule.
 pub fn draw(seed: u64, size: FleetSize) -> Vec<ScheduledFault> {
     let mut rng = Rng::with_seed(seed);
     let mut faults = Vec::new();
-    let mut at = QUIET_MS;
-    while at + QUIET_MS < size.length_ms {
+    let mut at = QUIET_PERIOD_MS;
+    while at + QUIET_PERIOD_MS < size.duration_ms {
         for _ in 0..rng.usize(2..=3) {
             faults.push(ScheduledFault {
                 at_ms: at + rng.u64(0..GROUP_SPREAD_MS),
-                fault: fault(&mut rng, size),
+                fault: draw_fault(&mut rng, size),
             });
         }
         at += rng.u64(GROUP_INTERVAL_MS);
@@ -126,59 +164,59 @@
     faults
 }
 
-fn fault(rng: &mut Rng, size: FleetSize) -> Fault {
+fn draw_fault(rng: &mut Rng, size: FleetSize) -> Fault {
     let node = rng.usize(..size.nodes);
-    let lasting = rng.usize(size.first_lasting..size.nodes);
+    let persistent = rng.usize(size.first_persistent..size.nodes);
     let server = rng.usize(..size.servers);
     let for_ms = rng.u64(300..3000);
     match rng.u32(..45) {
-        0 | 1 => Fault::Terminate { node },
-        2 | 3 => Fault::Kill { node, down_ms: rng.u64(50..1500) },
-        4 => Fault::Reload { node },
-        5 | 6 => Fault::Upgrade { node: lasting },
-        7 => Fault::HoldUp { node, for_ms: rng.u64(30..150) },
+        0 | 1 => Fault::TerminateNode { node },
+        2 | 3 => Fault::KillNode { node, down_ms: rng.u64(50..1500) },
+        4 => Fault::ReloadNode { node },
+        5 | 6 => Fault::UpgradeNode { node: persistent },
+        7 => Fault::SuspendNode { node, for_ms: rng.u64(30..150) },
         8 => Fault::DrainNode { node, for_ms: 1000 + for_ms },
-        9 | 10 => Fault::Ban { node: lasting, server, for_ms: 1000 + for_ms },
-        11 | 12 => Fault::Drain { server, for_ms: 2000 + for_ms },
-        13 | 14 => Fault::Replace { server, for_ms: 1500 + for_ms },
-        15 | 16 => Fault::Crash { server, for_ms },
-        17 => Fault::Hang { server, for_ms },
-        18 => Fault::Errors { server, for_ms },
-        19 => Fault::Full { server, for_ms },
-        20 => Fault::Slow { server, for_ms },
-        21 => Fault::Spoil { server, for_ms },
-        22 => Fault::ResetAll { server },
-        23 => Fault::Silence { server, for_ms },
+        9 | 10 => Fault::DisableServer { node: persistent, server, for_ms: 1000 + for_ms },
+        11 | 12 => Fault::DrainServer { server, for_ms: 2000 + for_ms },
+        13 | 14 => Fault::ReplaceServer { server, for_ms: 1500 + for_ms },
+        15 | 16 => Fault::CrashServer { server, for_ms },
+        17 => Fault::HangServer { server, for_ms },
+        18 => Fault::ServerErrors { server, for_ms },
+        19 => Fault::RejectRequests { server, for_ms },
+        20 => Fault::SlowServer { server, for_ms },
+        21 => Fault::CorruptResponses { server, for_ms },
+        22 => Fault::ResetConnections { server },
+        23 => Fault::DropServerOutput { server, for_ms },
         24 => Fault::DiscoveryDown { for_ms },
         25 => Fault::DiscoverySlow { for_ms },
         26 => Fault::DiscoverySilent { for_ms },
-        27 => Fault::CountAnew,
-        28 => Fault::Burst { for_ms },
-        29 => Fault::Leave { for_ms },
-        30 => Fault::HalfRequests { node, count: rng.usize(5..30) },
-        31 => Fault::IdleClients { node, count: rng.usize(50..300) },
+        27 => Fault::RestartVersions,
+        28 => Fault::LoadBurst { for_ms },
+        29 => Fault::AbandonRequests { for_ms },
+        30 => Fault::PartialRequests { node, count: rng.usize(5..30) },
+        31 => Fault::IdleConnections { node, count: rng.usize(50..300) },
         32 => Fault::StepClock {
             by_ms: if rng.bool() { 3_600_000 } else { -3_600_000 } + rng.i64(-9000..9000),
         },
-        33 => Fault::Herd { percent: rng.usize(20..80), down_ms: rng.u64(50..1000) },
-        34 => Fault::Release { for_ms: 2000 + for_ms },
-        35 => Fault::Pipeline { node, count: rng.usize(2..12) },
+        33 => Fault::KillManyNodes { percent: rng.usize(20..80), down_ms: rng.u64(50..1000) },
+        34 => Fault::RollingReplacement { for_ms: 2000 + for_ms },
+        35 => Fault::PipelinedRequests { node, count: rng.usize(2..12) },
         _ => match rng.u32(..4) {
-            0 => Fault::Interrupt { node, one_in: rng.i64(5..20), for_ms },
-            1 => Fault::LocalFailures { node, one_in: rng.i64(4..20), for_ms },
-            2 => Fault::SlowWrites { node, one_in: rng.i64(20..200), for_ms },
-            _ => Fault::DiskFails { node: lasting, for_ms },
+            0 => Fault::InterruptedCalls { node, one_in: rng.i64(5..20), for_ms },
+            1 => Fault::SocketFailures { node, one_in: rng.i64(4..20), for_ms },
+            2 => Fault::HeldWrites { node, one_in: rng.i64(20..200), for_ms },
+            _ => Fault::DiskFailures { node: persistent, for_ms },
         },
     }
 }
 
-/// One line of JSON for each.
+/// Prints each fault as one line of JSON.
 pub fn print(faults: &[ScheduledFault]) -> String {
     let line = |fault: &ScheduledFault| serde_json::to_string(fault).unwrap_or_default() + "\n";
     faults.iter().map(line).collect()
 }
 
-/// A line of a schedule that cannot be read.
+/// A line of a schedule that is not a valid fault.
 #[derive(Debug)]
 pub struct ParseError {
     line: usize,
@@ -191,10 +229,10 @@
     }
 }
 
-/// Reads what `print` wrote.
+/// Parses the output of [`print`]; ignores empty lines.
 ///
 /// # Errors
-/// A line is no scheduled fault.
+/// A line is not the JSON of a [`ScheduledFault`]. The error is the first such line.
 pub fn parse(text: &str) -> Result<Vec<ScheduledFault>, ParseError> {
     let lines = (1..).zip(text.lines()).filter(|(_, line)| !line.trim().is_empty());
     lines
--- a/fault-soak/src/server.rs
+++ b/fault-soak/src/server.rs
@@ -1,7 +1,10 @@
-//! Stand-ins for bid servers: a few cores, a queue, and faults on demand.
+//! Simulates the servers behind the nodes.
+//!
+//! Each server has a few cores and a bounded queue, reports its load, and can be made to fail in several ways. It
+//! records each attempt that it receives, which the oracle compares with the requests of the clients.
 
-use crate::http::{Message, answer};
-use crate::proxy::{Mode, Proxy};
+use crate::http::{Message, response_bytes};
+use crate::proxy::{Proxy, ProxyMode};
 use crate::record::{Record, ServerAttempt};
 use crate::settings::SERVER_IDLE_TIMEOUT;
 use std::net::SocketAddr;
@@ -12,119 +15,123 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// Requests that a server works at together, and how long one takes in the mean.
+/// The number of requests that a server runs at once.
 pub const CORES: usize = 3;
-/// See `CORES`.
-pub const WORK: Duration = Duration::from_millis(40);
-/// Requests that may wait before one is rejected.
-const MAX_QUEUE: usize = 40;
+/// The mean time for which a request occupies a core.
+pub const MEAN_SERVICE_TIME: Duration = Duration::from_millis(40);
+/// A server that runs and queues this many requests rejects further ones.
+const MAX_IN_FLIGHT: usize = 40;
 
-/// What a server does with requests.
+/// How a server treats the requests that it receives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerMode {
-    /// Serves them.
+    /// Serves them, and rejects only those beyond `MAX_IN_FLIGHT`.
     #[default]
     Healthy,
-    /// Says nothing.
+    /// Does not respond.
     Hanging,
-    /// Answers two of three with an error.
+    /// Responds to two of three with status 500.
     Failing,
-    /// Rejects all of them.
+    /// Rejects all of them, with a header that says that they did not run.
     Rejecting,
-    /// Takes five times as long.
+    /// Takes five times as long as usual.
     Slow,
-    /// Garbles or cuts half of the answers.
+    /// Garbles or truncates half of the responses, and closes the connection.
     Corrupting,
 }
 
-/// One server.
+/// A simulated server and the proxy in front of it.
 pub struct Server {
-    /// Its number.
-    pub number: usize,
-    /// Where it is reached: by a proxy.
+    /// The index of the server.
+    pub index: usize,
+    /// The address that discovery lists, on which the proxy listens.
     pub address: SocketAddr,
-    /// What stands between it and the nodes.
+    /// Forwards the connections of nodes, and breaks them on demand.
     pub proxy: Arc<Proxy>,
     mode: Mutex<ServerMode>,
     cores: Semaphore,
-    waiting: AtomicU32,
-    up: AtomicBool,
-    nonce: AtomicU64,
+    /// The number of requests that run or wait for a core.
+    in_flight: AtomicU32,
+    is_up: AtomicBool,
+    /// Numbers the responses, and selects the framing or corruption of each.
+    next_response_number: AtomicU64,
     record: Arc<Record>,
 }
 
 impl Server {
-    /// Starts one that is reached at `address`.
-    pub async fn start(number: usize, address: SocketAddr, record: Arc<Record>) -> Arc<Server> {
+    /// Starts a server whose proxy listens at `address`.
+    pub async fn start(index: usize, address: SocketAddr, record: Arc<Record>) -> Arc<Server> {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let proxy = Proxy::start(address, listener.local_addr().unwrap()).await;
         let server = Arc::new(Server {
-            number,
+            index,
             address: proxy.address,
             proxy,
             mode: Mutex::default(),
             cores: Semaphore::new(CORES),
-            waiting: AtomicU32::new(0),
-            up: AtomicBool::new(true),
-            nonce: AtomicU64::new(0),
+            in_flight: AtomicU32::new(0),
+            is_up: AtomicBool::new(true),
+            next_response_number: AtomicU64::new(0),
             record,
         });
-        let own = server.clone();
+        let accepting_server = server.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let _ = stream.set_nodelay(true);
-                tokio::spawn(own.clone().converse(stream));
+                tokio::spawn(accepting_server.clone().serve_connection(stream));
             }
         });
         server
     }
 
-    /// From now on it does so.
-    pub fn set(&self, mode: ServerMode) {
+    /// Sets the mode for requests that arrive from now on.
+    pub fn set_mode(&self, mode: ServerMode) {
         *self.mode.lock().unwrap() = mode;
     }
 
-    /// Dies: all connections break, and new ones are refused.
-    pub async fn die(&self) {
-        self.up.store(false, Ordering::SeqCst);
-        self.proxy.set(Mode::Dead).await;
+    /// Stops the server: resets all connections and refuses new ones.
+    pub async fn stop(&self) {
+        self.is_up.store(false, Ordering::SeqCst);
+        self.proxy.set_mode(ProxyMode::Down).await;
     }
 
-    /// Serves again, in slow start.
-    pub async fn revive(&self) {
-        self.set(ServerMode::Healthy);
-        self.up.store(true, Ordering::SeqCst);
-        self.proxy.set(Mode::Passes).await;
+    /// Starts to serve again, in healthy mode.
+    pub async fn restart(&self) {
+        self.set_mode(ServerMode::Healthy);
+        self.is_up.store(true, Ordering::SeqCst);
+        self.proxy.set_mode(ProxyMode::Forwarding).await;
     }
 
-    async fn converse(self: Arc<Self>, mut stream: TcpStream) {
+    async fn serve_connection(self: Arc<Self>, mut stream: TcpStream) {
         let (reader, mut writer) = stream.split();
         let mut reader = BufReader::new(reader);
         loop {
             let mut first_byte_at = 0.0;
             let read = Message::read(&mut reader, || first_byte_at = self.record.now());
             let Ok(Ok(message)) = tokio::time::timeout(SERVER_IDLE_TIMEOUT, read).await else { return };
-            if !self.up.load(Ordering::SeqCst) {
+            if !self.is_up.load(Ordering::SeqCst) {
                 return;
             }
             let Some(id) = message.header("x-trace-id").and_then(|id| u64::from_str_radix(id, 16).ok())
             else {
-                self.record
-                    .record_violation(crate::record::Rule::Duplicate, format!("a server got {message:?}"));
+                self.record.record_violation(
+                    crate::record::Rule::DuplicateExecution,
+                    format!("a server received a request without a valid X-Trace-Id: {message:?}"),
+                );
                 return;
             };
             let mode = *self.mode.lock().unwrap();
-            let rejected =
-                mode == ServerMode::Rejecting || self.waiting.load(Ordering::SeqCst) as usize >= MAX_QUEUE;
+            let rejected = mode == ServerMode::Rejecting
+                || self.in_flight.load(Ordering::SeqCst) as usize >= MAX_IN_FLIGHT;
             self.record_attempt(id, first_byte_at, &message, rejected);
-            let Some(bytes) = self.answer(id, mode, rejected).await else {
-                // Says nothing until the other side gives up.
+            let Some(reply) = self.reply(id, mode, rejected).await else {
+                // Keeps the connection open until the node closes it.
                 let _ = Message::read(&mut reader, || {}).await;
                 return;
             };
-            let complete = bytes.complete;
-            let _ = writer.write_all(&bytes.bytes).await;
-            if !complete {
+            let keeps_connection = reply.keeps_connection;
+            let _ = writer.write_all(&reply.bytes).await;
+            if !keeps_connection {
                 return;
             }
         }
@@ -134,75 +141,80 @@
         let timeout_ms = message.header("x-expires-in-ms").and_then(|ms| ms.parse::<f64>().ok());
         self.record.attempts.lock().unwrap().push(ServerAttempt {
             id,
-            server: self.number,
+            server: self.index,
             first_byte_at,
-            complete_at: self.record.now(),
-            timeout: timeout_ms.map(|ms| ms / 1000.0),
+            last_byte_at: self.record.now(),
+            timeout_seconds: timeout_ms.map(|ms| ms / 1000.0),
             rejected,
         });
     }
 
-    /// None where it says nothing.
-    async fn answer(&self, id: u64, mode: ServerMode, rejected: bool) -> Option<Reply> {
+    /// Runs a request, unless it is rejected or fails. Returns `None` if the server does not respond.
+    async fn reply(&self, id: u64, mode: ServerMode, rejected: bool) -> Option<Reply> {
         if rejected {
-            return Some(Reply::complete(answer("503 Service Unavailable", "X-Never-Ran: 1\r\n", b"full")));
+            return Some(Reply::keep_alive(response_bytes(
+                "503 Service Unavailable",
+                "X-Never-Ran: 1\r\n",
+                b"full",
+            )));
         }
         if mode == ServerMode::Hanging {
             return None;
         }
-        let nonce = self.nonce.fetch_add(1, Ordering::SeqCst);
-        if mode == ServerMode::Failing && !nonce.is_multiple_of(3) {
-            return Some(Reply::complete(answer("500 Internal Server Error", "", b"error")));
+        let response_number = self.next_response_number.fetch_add(1, Ordering::SeqCst);
+        if mode == ServerMode::Failing && !response_number.is_multiple_of(3) {
+            return Some(Reply::keep_alive(response_bytes("500 Internal Server Error", "", b"error")));
         }
-        self.waiting.fetch_add(1, Ordering::SeqCst);
+        self.in_flight.fetch_add(1, Ordering::SeqCst);
         let core = self.cores.acquire().await;
-        let times = if mode == ServerMode::Slow { 5.0 } else { 1.0 };
-        tokio::time::sleep(WORK.mul_f64(times * (0.5 + fastrand::f64()))).await;
+        let slowdown = if mode == ServerMode::Slow { 5.0 } else { 1.0 };
+        tokio::time::sleep(MEAN_SERVICE_TIME.mul_f64(slowdown * (0.5 + fastrand::f64()))).await;
         drop(core);
-        let load = self.waiting.fetch_sub(1, Ordering::SeqCst);
-        let body = body(id, self.number, nonce);
+        let load = self.in_flight.fetch_sub(1, Ordering::SeqCst);
+        let body = body(id, self.index, response_number);
         let headers = format!("Endpoint-Load-Metrics: TEXT inflight={load}\r\n");
-        let framing = Framing::ALL[(nonce % Framing::ALL.len() as u64) as usize];
-        let mut bytes = framing.answer(&headers, body.as_bytes());
-        if mode == ServerMode::Corrupting && nonce.is_multiple_of(2) {
-            match nonce % 3 {
+        let framing = Framing::SEQUENCE[(response_number % Framing::SEQUENCE.len() as u64) as usize];
+        let mut bytes = framing.response_bytes(&headers, body.as_bytes());
+        if mode == ServerMode::Corrupting && response_number.is_multiple_of(2) {
+            match response_number % 3 {
                 0 => bytes.truncate(bytes.len() - 5),
                 1 => bytes.truncate(20),
                 _ => bytes[0] = b'?',
             }
-            return Some(Reply { bytes, complete: false });
+            return Some(Reply { bytes, keeps_connection: false });
         }
-        Some(Reply { bytes, complete: framing != Framing::Close })
+        Some(Reply { bytes, keeps_connection: framing != Framing::UntilClose })
     }
 }
 
-/// How the end of a response is marked.
+/// How a response marks the end of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
-    Length,
-    Chunks,
-    /// By the end of the connection.
-    Close,
+    ContentLength,
+    Chunked,
+    /// The body ends with the connection.
+    UntilClose,
 }
 
 impl Framing {
-    const ALL: [Framing; 8] = [
-        Framing::Length,
-        Framing::Length,
-        Framing::Chunks,
-        Framing::Length,
-        Framing::Length,
-        Framing::Close,
-        Framing::Length,
-        Framing::Chunks,
+    /// The framings of successive responses, in turn; the more usual ones occur more often.
+    const SEQUENCE: [Framing; 8] = [
+        Framing::ContentLength,
+        Framing::ContentLength,
+        Framing::Chunked,
+        Framing::ContentLength,
+        Framing::ContentLength,
+        Framing::UntilClose,
+        Framing::ContentLength,
+        Framing::Chunked,
     ];
 
-    fn answer(self, headers: &str, body: &[u8]) -> Vec<u8> {
+    fn response_bytes(self, headers: &str, body: &[u8]) -> Vec<u8> {
         let head = |framing: &str| format!("HTTP/1.1 200 OK\r\n{headers}{framing}\r\n").into_bytes();
         match self {
-            Framing::Length => answer("200 OK", headers, body),
-            Framing::Close => [&head("Connection: close\r\n"), body].concat(),
-            Framing::Chunks => {
+            Framing::ContentLength => response_bytes("200 OK", headers, body),
+            Framing::UntilClose => [&head("Connection: close\r\n"), body].concat(),
+            Framing::Chunked => {
                 let mut bytes = head("Transfer-Encoding: chunked\r\n");
                 for chunk in body.chunks(10) {
                     bytes.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
@@ -216,19 +228,21 @@
     }
 }
 
-/// What is written, and whether that is an answer.
+/// The bytes to write to a connection in reply to a request.
 struct Reply {
     bytes: Vec<u8>,
-    complete: bool,
+    /// Whether the connection stays open for another request.
+    keeps_connection: bool,
 }
 
 impl Reply {
-    fn complete(bytes: Vec<u8>) -> Reply {
-        Reply { bytes, complete: true }
+    fn keep_alive(bytes: Vec<u8>) -> Reply {
+        Reply { bytes, keeps_connection: true }
     }
 }
 
-/// What a server answers to a request that it ran.
-pub fn body(id: u64, server: usize, nonce: u64) -> String {
-    format!("{id:016x} served by {server} as {nonce}")
+/// The body of the response to a request that a server ran. It names the request and the server, so that the oracle
+/// can tell which attempt the response belongs to.
+pub fn body(id: u64, server: usize, response_number: u64) -> String {
+    format!("{id:016x} served by {server} as {response_number}")
 }
