--- a/fault-soak/src/client.rs
+++ b/fault-soak/src/client.rs
@@ -1,9 +1,9 @@
 //! Simulates the clients of the nodes.
 //!
-//! Each client sends one request at a time, mostly to its own node, and reuses connections. Like real clients, some
-//! of them write a request in two pieces, close the connection before the response, send only a part of a request,
-//! or hold an idle connection. Clients connect only to nodes that are in rotation, as if a front-end load balancer
-//! chose the nodes for them.
+//! Each client sends one request at a time, mostly to its own node, and reuses connections. Like real
+//! clients, some of them write a request in two pieces, close the connection before the response, send only
+//! a part of a request, or hold an idle connection. Clients connect only to nodes that are in rotation, as
+//! if a front-end load balancer chose the nodes for them.
 
 use crate::http::{Message, ReadError};
 use crate::record::{ClientRequest, ClientResponse, ConnectionClose, Record, Rule};
@@ -18,7 +18,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// How long after its timeout a client still waits for a response, to tell a late response from a missing one.
+/// How long after its timeout a client still waits for a response, to tell a late response from a missing
+/// one.
 const LATE_RESPONSE_WAIT: Duration = Duration::from_millis(1500);
 /// The time within which a client that sent only a part of a request must get an error or a close.
 const PARTIAL_REQUEST_LIMIT_SECONDS: f64 = 3.0;
@@ -132,8 +133,8 @@
         TcpStream::connect(self.nodes[node].address).await.ok()
     }
 
-    /// Runs one client until `stopped` is set. `mean_pause` is the usual mean of the exponentially distributed
-    /// pauses before its requests.
+    /// Runs one client until `stopped` is set. `mean_pause` is the usual mean of the exponentially
+    /// distributed pauses before its requests.
     pub async fn run_client(self: Arc<Self>, number: u64, mean_pause: Duration) {
         let mut rng = Rng::with_seed(self.seed << 20 ^ number);
         let mut idle_connections: HashMap<usize, Connection> = HashMap::new();
@@ -259,7 +260,8 @@
         self.record.requests.lock().unwrap().insert(id, request);
     }
 
-    /// Updates the record of a request. `update` gets the current time in seconds since the start of the record.
+    /// Updates the record of a request. `update` gets the current time in seconds since the start of the
+    /// record.
     fn update_request(&self, id: u64, update: impl FnOnce(&mut ClientRequest, f64)) {
         let now = self.record.now();
         if let Some(request) = self.record.requests.lock().unwrap().get_mut(&id) {
@@ -285,8 +287,8 @@
         }
     }
 
-    /// Sends a part of a request and keeps the connection open. The node must answer with an error or a close in
-    /// time; otherwise a violation is recorded.
+    /// Sends a part of a request and keeps the connection open. The node must answer with an error or a
+    /// close in time; otherwise a violation is recorded.
     pub async fn send_partial_request(self: Arc<Self>, node: usize, seed: u64) {
         let mut rng = Rng::with_seed(seed);
         let Some(mut stream) = self.connect(node).await else { return };
@@ -306,7 +308,8 @@
             || elapsed > PARTIAL_REQUEST_LIMIT_SECONDS + PARTIAL_REQUEST_SLACK_SECONDS + stall
         {
             let description = format!(
-                "node {node}: a partial request ({length} bytes) got neither an error nor a close for {elapsed:.2} s"
+                "node {node}: a partial request ({length} bytes) got neither an error nor a close \
+                 for {elapsed:.2} s"
             );
             self.record.record_violation(Rule::MalformedRequest, description);
         }
@@ -342,7 +345,8 @@
         }
     }
 
-    /// Opens a connection, sends nothing, and holds it until the node closes it or `IDLE_CONNECTION_TIME` is over.
+    /// Opens a connection, sends nothing, and holds it until the node closes it or `IDLE_CONNECTION_TIME`
+    /// is over.
     pub async fn hold_idle_connection(self: Arc<Self>, node: usize) {
         let Some(mut stream) = self.connect(node).await else { return };
         let mut byte = [0];
--- a/fault-soak/src/discovery.rs
+++ b/fault-soak/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Simulates discovery, the service from which nodes learn the list of servers.
 //!
-//! There is one list for all nodes, but each node calls at addresses of its own, so that the record can tell when
-//! each node was notified of a change. Discovery can be made to fail in several ways.
+//! There is one list for all nodes, but each node calls at addresses of its own, so that the record can
+//! tell when each node was notified of a change. Discovery can be made to fail in several ways.
 
 use crate::http::{Message, response_bytes};
 use crate::proxy::listen;
@@ -15,24 +15,24 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// How long after a node got a new address of discovery the calls that are open at the old one are closed. The old
-/// address takes no new calls in the meantime.
+/// How long after a node got a new address of discovery the calls that are open at the old one are closed.
+/// The old address takes no new calls in the meantime.
 const OLD_ADDRESS_CLOSE_DELAY: Duration = Duration::from_millis(1500);
 /// The longest delay of a response while discovery is slow, if nodes poll one service.
 const MAX_SLOW_POLL_DELAY: Duration = Duration::from_millis(1200);
-/// The longest delay of a response while discovery is slow, if each node has a local agent. It is short because the
-/// oracle expects a node to know a change at once when its agent does.
+/// The longest delay of a response while discovery is slow, if each node has a local agent. It is short
+/// because the oracle expects a node to know a change at once when its agent does.
 const MAX_SLOW_AGENT_DELAY: Duration = Duration::from_millis(200);
-/// The time after which the oracle expects every node to know a change, counted from the change or from the end of
-/// the last outage of discovery, whichever is later.
+/// The time after which the oracle expects every node to know a change, counted from the change or from the
+/// end of the last outage of discovery, whichever is later.
 pub const MAX_PROPAGATION_SECONDS: f64 = 6.0;
 /// The longest time that a call may ask discovery to wait for a change.
 const MAX_WAIT_MS: u64 = 60_000;
 /// The version of the first list.
 const FIRST_VERSION: u64 = 1_000_000;
-/// By how much each restart of the version numbering begins below the previous beginning. The step is so large that
-/// the new versions never reach the old ones during a run. Otherwise a node that missed the restart would get changes
-/// that do not apply to its list, and neither side could notice.
+/// By how much each restart of the version numbering begins below the previous beginning. The step is so
+/// large that the new versions never reach the old ones during a run. Otherwise a node that missed the
+/// restart would get changes that do not apply to its list, and neither side could notice.
 const VERSION_RESTART_STEP: u64 = 1000;
 /// A node that is this many versions behind, or more, gets the full list in place of the changes.
 const MAX_DELTA_VERSIONS: usize = 40;
@@ -68,8 +68,8 @@
 
 /// The list of servers with its versions.
 ///
-/// The internal version counts changes and never decreases. Nodes see a reported version, which is the internal one
-/// less `version_offset`, and which decreases when the numbering restarts.
+/// The internal version counts changes and never decreases. Nodes see a reported version, which is the
+/// internal one less `version_offset`, and which decreases when the numbering restarts.
 #[derive(Debug, Default)]
 struct List {
     entries: Vec<ListEntry>,
@@ -105,8 +105,8 @@
 }
 
 impl Discovery {
-    /// Starts a discovery service that lists these servers as up and fully warm, and listens at the two addresses
-    /// of each node.
+    /// Starts a discovery service that lists these servers as up and fully warm, and listens at the two
+    /// addresses of each node.
     pub fn start(
         servers: &[SocketAddr],
         nodes: &[[SocketAddr; 2]],
@@ -181,8 +181,8 @@
         self.changed.send_modify(|_| {});
     }
 
-    /// Records that the agents, if there are any, notify their nodes now of all changes that they missed while they
-    /// were unreachable.
+    /// Records that the agents, if there are any, notify their nodes now of all changes that they missed
+    /// while they were unreachable.
     fn record_agents_notified(&self, now: f64) {
         if self.mode == DiscoveryMode::Push {
             let mut changes = self.record.changes.lock().unwrap();
@@ -202,8 +202,8 @@
         self.changed.send_replace(version);
     }
 
-    /// Changes a server's entry and records the change. Nodes with a local agent count as notified at once, if
-    /// discovery can be reached. `boot_ms` is the new boot time; `None` keeps the present one.
+    /// Changes a server's entry and records the change. Nodes with a local agent count as notified at once,
+    /// if discovery can be reached. `boot_ms` is the new boot time; `None` keeps the present one.
     pub fn change_server(
         &self,
         server: usize,
@@ -234,8 +234,8 @@
         self.changed.send_replace(version);
     }
 
-    /// The time from which every node is expected to know a change that was made at `at`, whether or not the node
-    /// was notified; infinite while discovery cannot be reached.
+    /// The time from which every node is expected to know a change that was made at `at`, whether or not
+    /// the node was notified; infinite while discovery cannot be reached.
     pub fn deemed_known_at(&self, at: f64) -> f64 {
         let list = self.list.lock().unwrap();
         let unreachable = list.faults.down || list.faults.silent;
@@ -282,15 +282,15 @@
         }
     }
 
-    /// The response to a call and the internal version of the list in it. Returns `None` if discovery is silent and
-    /// the call gets no response.
+    /// The response to a call and the internal version of the list in it. Returns `None` if discovery is
+    /// silent and the call gets no response.
     async fn response(&self, call: &Message) -> Option<(Vec<u8>, u64)> {
-        let number = |name: &str| {
+        let query_number = |name: &str| {
             let (_, rest) = call.first_line.split_once(name)?;
             rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok()
         };
-        let after = number("after=");
-        let wait = Duration::from_millis(number("wait_ms=").unwrap_or(0).min(MAX_WAIT_MS));
+        let after = query_number("after=");
+        let wait = Duration::from_millis(query_number("wait_ms=").unwrap_or(0).min(MAX_WAIT_MS));
         if self.list.lock().unwrap().faults.silent {
             return None;
         }
@@ -335,8 +335,8 @@
     json!({"rev": list.version - list.version_offset, "all": true, "targets": entries})
 }
 
-/// The entries that changed after a reported version. Returns the full list if `after` is absent, belongs to an
-/// earlier numbering or is too old.
+/// The entries that changed after a reported version. Returns the full list if `after` is absent, belongs
+/// to an earlier numbering or is too old.
 fn changes_since(list: &List, after: Option<u64>) -> Value {
     let reported = list.version - list.version_offset;
     let after = after.filter(|after| *after <= reported).map(|after| after + list.version_offset);
--- a/fault-soak/src/fault_injection.rs
+++ b/fault-soak/src/fault_injection.rs
@@ -1,7 +1,7 @@
 //! Injects the faults of a schedule into a run.
 //!
-//! Each fault is one task that begins the fault, sleeps for its duration and ends it. Faults that overlap in time
-//! run as separate tasks.
+//! Each fault is one task that begins the fault, sleeps for its duration and ends it. Faults that overlap
+//! in time run as separate tasks.
 
 use crate::discovery::{Discovery, server_name};
 use crate::faults::SyscallFault;
@@ -198,7 +198,8 @@
         replacements.join_all().await;
     }
 
-    /// Removes a server from the list, stops it a while later, and restarts it in slow start after `downtime`.
+    /// Removes a server from the list, stops it a while later, and restarts it in slow start after
+    /// `downtime`.
     async fn replace_server(&self, server: usize, downtime: Duration) {
         self.discovery.change_server(server, "removed", None, ServerChange::Withdrawn);
         tokio::time::sleep(MAX_REMOVED_SERVER_LIFETIME.min(downtime)).await;
@@ -207,8 +208,8 @@
         self.restart_server(server).await;
     }
 
-    /// Stops a server, removes it from the list only some time later, and restarts it in slow start `downtime`
-    /// after its removal.
+    /// Stops a server, removes it from the list only some time later, and restarts it in slow start
+    /// `downtime` after its removal.
     async fn crash_server(&self, server: usize, downtime: Duration) {
         self.servers[server].stop().await;
         tokio::time::sleep(CRASH_DETECTION_DELAY).await;
@@ -223,8 +224,8 @@
         self.servers[server].set_mode(ServerMode::Healthy);
     }
 
-    /// Restarts a server and lists it as up. Its boot time is by the stepped wall clock of the nodes, so that they
-    /// see it in slow start.
+    /// Restarts a server and lists it as up. Its boot time is by the stepped wall clock of the nodes, so
+    /// that they see it in slow start.
     async fn restart_server(&self, server: usize) {
         self.servers[server].restart().await;
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -251,8 +252,8 @@
         }
     }
 
-    /// Records that the server is disabled at the node. Returns `false` if it already was; the task of the earlier
-    /// command then enables it for both.
+    /// Records that the server is disabled at the node. Returns `false` if it already was; the task of the
+    /// earlier command then enables it for both.
     fn begin_disabled_period(&self, node: usize, server: usize) -> bool {
         let from = self.record.now();
         let mut periods = self.record.disabled_periods.lock().unwrap();
--- a/fault-soak/src/http.rs
+++ b/fault-soak/src/http.rs
@@ -1,4 +1,5 @@
-//! Reads HTTP/1.1 messages and builds responses, as far as the simulated clients, servers and discovery need it.
+//! Reads HTTP/1.1 messages and builds responses, as far as the simulated clients, servers and discovery
+//! need it.
 
 use std::collections::HashMap;
 use std::io;
@@ -90,7 +91,8 @@
     Ok(line.trim_end().to_owned())
 }
 
-/// A response with a `Content-Length`. `status` is the code and its reason, and `headers` are complete header lines.
+/// A response with a `Content-Length`. `status` is the code and its reason, and `headers` are complete
+/// header lines.
 pub fn response_bytes(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes =
         format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n", body.len()).into_bytes();
--- a/fault-soak/src/main.rs
+++ b/fault-soak/src/main.rs
@@ -1,8 +1,9 @@
 //! Runs node processes under random faults, and checks from outside that they keep the rules.
 //!
-//! Some failures show only when several faults overlap, in combinations that nobody writes a test for. The fault soak
-//! runs real nodes on loopback, simulates the clients, the servers and discovery around them, and injects faults
-//! that a seed determines. An oracle then checks the record of what clients, servers and discovery observed.
+//! Some failures show only when several faults overlap, in combinations that nobody writes a test for. The
+//! fault soak runs real nodes on loopback, simulates the clients, the servers and discovery around them,
+//! and injects faults that a seed determines. An oracle then checks the record of what clients, servers and
+//! discovery observed.
 
 mod client;
 mod discovery;
@@ -53,7 +54,8 @@
     /// Plays the schedule in this file instead of the one of the seed.
     #[arg(long)]
     schedule: Option<PathBuf>,
-    /// If a seed fails, removes faults for as long as the run still fails, and prints the remaining schedule.
+    /// If a seed fails, removes faults for as long as the run still fails, and prints the remaining
+    /// schedule.
     #[arg(long)]
     shorten: bool,
     /// Keeps the logs and configuration files of the nodes in this folder.
@@ -61,9 +63,9 @@
     logs: Option<PathBuf>,
 }
 
-/// How often a shortened schedule is played before it counts as one that no longer fails. A failure need not show in
-/// every run, because the timing varies.
-const SHORTEN_ATTEMPTS: u32 = 2;
+/// How often a shortened schedule is played before it counts as one that no longer fails. A failure need
+/// not show in every run, because the timing varies.
+const RUNS_PER_SHORTENED_SCHEDULE: u32 = 2;
 
 /// The reason that a schedule cannot be played.
 #[derive(Debug)]
@@ -99,7 +101,7 @@
     /// The faults of the schedule file if one was given, or of the seed.
     fn faults(&self, seed: u64) -> Result<Vec<ScheduledFault>, ScheduleError> {
         let Some(file) = &self.schedule else {
-            let size = run::fleet_size(self.nodes, self.servers, self.seconds * 1000);
+            let size = run::run_size(self.nodes, self.servers, self.seconds * 1000);
             return Ok(schedule::draw(seed, size));
         };
         let text =
@@ -115,8 +117,8 @@
     }
 }
 
-/// Removes one fault after another, last to first, and keeps each removal after which the run still breaks a rule
-/// that it broke before.
+/// Removes one fault after another, last to first, and keeps each removal after which the run still breaks
+/// a rule that it broke before.
 fn shorten(
     arguments: &Arguments,
     seed: u64,
@@ -124,7 +126,7 @@
     violations: &[Violation],
 ) -> Vec<ScheduledFault> {
     let fails = |faults: &[ScheduledFault]| {
-        (0..SHORTEN_ATTEMPTS).any(|_| {
+        (0..RUNS_PER_SHORTENED_SCHEDULE).any(|_| {
             let report = run::play(&arguments.plan(seed, faults.to_vec()));
             report.violations.iter().any(|new| violations.iter().any(|old| old.rule == new.rule))
         })
--- a/fault-soak/src/node.rs
+++ b/fault-soak/src/node.rs
@@ -1,7 +1,8 @@
 //! Starts, signals, replaces and watches the processes of the nodes.
 //!
-//! A node is a sequence of processes with the same addresses. Some nodes are persistent: their processes inherit one
-//! listening socket and share one state folder, so that a new process can take over from one that still runs.
+//! A node is a sequence of processes with the same addresses. Some nodes are persistent: their processes
+//! inherit one listening socket and share one state folder, so that a new process can take over from one
+//! that still runs.
 
 use crate::client::Clients;
 use crate::discovery::Discovery;
@@ -26,8 +27,8 @@
 
 /// How long after SIGTERM clients still open new connections to the node.
 const REMOVAL_DELAY_AFTER_SIGTERM: Duration = Duration::from_millis(300);
-/// How long a process may take to exit after SIGTERM, until it is killed: the longest deadline of a request, which
-/// is taken to be at least 3 s, plus 0.7 s.
+/// The time that a process has to exit after SIGTERM before it is killed: the longest deadline of a
+/// request, which is taken to be at least 3 s, plus 0.7 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3700);
 /// How long after the death of a process clients still try to open new connections to the node.
 const REMOVAL_DELAY_AFTER_DEATH: Duration = Duration::from_millis(1000);
@@ -71,7 +72,8 @@
     /// The index of the node.
     pub index: usize,
     addresses: NodeAddresses,
-    /// The listening socket and the state folder that outlive a process; `None` if the node is not persistent.
+    /// The listening socket and the state folder that outlive a process; `None` if the node is not
+    /// persistent.
     persistent: Option<(StdListener, PathBuf)>,
     /// The faults of system calls in the processes of the node.
     pub faults: Arc<SyscallFaults>,
@@ -85,7 +87,8 @@
 }
 
 impl Node {
-    /// Creates a node without a process. Creates the listening socket and the state folder if it is persistent.
+    /// Creates a node without a process. Creates the listening socket and the state folder if it is
+    /// persistent.
     pub fn new(
         index: usize,
         addresses: NodeAddresses,
@@ -136,6 +139,7 @@
         let log = self.deployment.folder.join(format!("{name}-{start_number}.log"));
         self.logs.lock().unwrap().push(log.clone());
         let mut command = std::process::Command::new("/bin/sh");
+        // The process gets the listening socket as its standard input; the shell moves it to descriptor 3.
         let script = if self.persistent.is_some() { "exec \"$0\" 3<&0 0</dev/null" } else { "exec \"$0\"" };
         command
             .args(["-c", script])
@@ -218,8 +222,8 @@
         process.as_mut().is_some_and(|process| matches!(process.child.try_wait(), Ok(None)))
     }
 
-    /// Records a violation if the process has exited by itself, and starts another one. Does nothing while another
-    /// task starts or stops a process.
+    /// Records a violation if the process has exited by itself, and starts another one. Does nothing while
+    /// another task starts or stops a process.
     pub async fn restart_if_exited(&self) {
         // The lock is held during the check, so that no other task stops the process in the meantime.
         let Ok(_lifecycle) = self.lifecycle_lock.try_lock() else { return };
@@ -255,8 +259,8 @@
         });
     }
 
-    /// Waits until a terminated process has exited, and kills it after `SHUTDOWN_TIMEOUT`. Records a violation if it
-    /// was killed, failed, or logged a violation itself.
+    /// Waits until a terminated process has exited, and kills it after `SHUTDOWN_TIMEOUT`. Records a
+    /// violation if it was killed, failed, or logged a violation itself.
     async fn await_exit(&self, mut process: Process) {
         match tokio::time::timeout(SHUTDOWN_TIMEOUT, process.child.wait()).await {
             Ok(Ok(status)) if status.success() => {}
@@ -308,7 +312,8 @@
         let is_ready = ready.await.is_ok();
         let old = self.process.lock().await.replace(new);
         if !is_ready {
-            // This is not a violation: while no server is in service or discovery is down, no process can be ready.
+            // This is not a violation: while no server is in service or discovery is down, no process can
+            // be ready.
             eprintln!(
                 "node {}: the new process is not ready after 6 s; terminating the old one",
                 self.index
@@ -321,7 +326,8 @@
         }
     }
 
-    /// Moves discovery to the node's other address, changes the configuration file accordingly and sends SIGHUP.
+    /// Moves discovery to the node's other address, changes the configuration file accordingly and sends
+    /// SIGHUP.
     pub async fn reload(&self) {
         let _lifecycle = self.lifecycle_lock.lock().await;
         let process = self.process.lock().await;
@@ -345,8 +351,8 @@
         signal(&process.child, Signal::SIGCONT);
     }
 
-    /// Sends an admin command to the process that serves. Returns `None` if there is no process, or it does not reply
-    /// in time.
+    /// Sends an admin command to the process that serves. Returns `None` if there is no process, or it does
+    /// not reply in time.
     pub async fn admin_command(&self, line: &str) -> Option<String> {
         let admin = self.process.lock().await.as_ref()?.admin;
         send_command(admin, line).await
@@ -378,7 +384,8 @@
 
 fn signal(child: &Child, signal: Signal) {
     if let Some(pid) = child.id().and_then(|pid| i32::try_from(pid).ok()) {
-        // The signal fails if the process has exited by itself, which `restart_if_exited` or `await_exit` records.
+        // The signal fails if the process has exited by itself, which `restart_if_exited` or `await_exit`
+        // records.
         let _ = kill(Pid::from_raw(pid), signal);
     }
 }
@@ -395,8 +402,8 @@
     tokio::time::timeout(COMMAND_TIMEOUT, exchange).await.ok().flatten()
 }
 
-/// A loopback address on which nothing listens. The IP address depends on the process id, so that several runs on one
-/// machine do not get the same address.
+/// A loopback address on which nothing listens. The IP address depends on the process id, so that several
+/// runs on one machine do not get the same address.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/fault-soak/src/oracle/mod.rs
+++ b/fault-soak/src/oracle/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! The oracle sees a run only from outside: it compares what clients, servers and discovery observed.
 //! [`request_rules`] has the rules for one request and its attempts, and [`server_rules`] those for the
-//! requests that a server receives. Each rule is one function. `docs/fault-soak.md` describes the rules under
-//! the names that [`Rule::name`] returns.
+//! requests that a server receives. Each rule is one function. `docs/fault-soak.md` describes the rules
+//! under the names that [`Rule::name`] returns.
 
 mod request_rules;
 mod server_rules;
@@ -11,8 +11,8 @@
 use crate::record::{ClientRequest, Record, Rule, ServerAttempt, ServerChangeRecord};
 use std::collections::HashMap;
 
-/// The longest time that the fault injection suspends a process between a read of its clock and the write that
-/// follows.
+/// The longest time that the fault injection suspends a process between a read of its clock and the write
+/// that follows.
 const HELD_WRITE_SLACK_SECONDS: f64 = 0.15;
 /// The delay that loopback and the scheduling of this program add to an observed time.
 const LOOPBACK_SLACK_SECONDS: f64 = 0.05;
@@ -41,7 +41,7 @@
     let attempts = record.attempts.lock().unwrap().clone();
     let changes = record.changes.lock().unwrap().clone();
     let checker = Checker { record, requests: &requests, changes: &changes, deemed_known_at };
-    let mut found = checker.observed();
+    let mut found = checker.observed_violations();
     let by_request = group_by_request(&attempts);
     for (id, request) in &requests {
         let attempts = by_request.get(id).map_or(&[][..], Vec::as_slice);
@@ -84,7 +84,7 @@
     }
 
     /// The violations that the tasks of the soak saw as they happened.
-    fn observed(&self) -> Vec<Violation> {
+    fn observed_violations(&self) -> Vec<Violation> {
         let observed = self.record.violations.lock().unwrap().clone();
         let violation = |seen: crate::record::ObservedViolation| Violation {
             at: seen.at,
--- a/fault-soak/src/oracle/request_rules.rs
+++ b/fault-soak/src/oracle/request_rules.rs
@@ -81,8 +81,8 @@
             None => (request.deadline(), "no response"),
         };
         let is_closed_before_response = request.connection_close.is_some_and(|close| !close.mid_response);
-        // A node may close an idle connection while the client writes the next request to it. The client then
-        // retries on a new connection, so the response is lost only if the node had read the request.
+        // A node may close an idle connection while the client writes the next request to it. The client
+        // then retries on a new connection, so the response is lost only if the node had read the request.
         let is_close_race = !request.on_new_connection && is_closed_before_response;
         let is_lost = !is_close_race || !history.attempts.is_empty();
         if !is_lost || self.was_killed(request.node, request.sent_at, at) {
@@ -92,7 +92,8 @@
         Some(history.violation(at, Rule::LostResponse, &detail))
     }
 
-    /// Whether the node's process was killed, or its successor was not yet ready, at any time in the period.
+    /// Whether the node's process was killed, or its successor was not yet ready, at any time in the
+    /// period.
     fn was_killed(&self, node: usize, from: f64, until: f64) -> bool {
         let gaps = self.record.process_gaps.lock().unwrap();
         let mut kills = gaps.iter().filter(|gap| gap.node == node && gap.killed);
@@ -100,8 +101,9 @@
         kills.any(|gap| gap.until >= from - slack && gap.from <= until + slack)
     }
 
-    /// [`Rule::ResponseCorrectness`]: a response with status 200 is one that a server made for this request, and
-    /// an at-most-once request is not rejected if it may have run, because its client would send it again.
+    /// [`Rule::ResponseCorrectness`]: a response with status 200 is one that a server made for this
+    /// request, and an at-most-once request is not rejected if it may have run, because its client would
+    /// send it again.
     fn response_correctness(&self, history: &RequestHistory<'_>) -> Option<Violation> {
         let ClientResponse { status, body, .. } = history.request.response.as_ref()?;
         let is_from = |attempt: &&ServerAttempt| {
--- a/fault-soak/src/oracle/server_rules.rs
+++ b/fault-soak/src/oracle/server_rules.rs
@@ -28,8 +28,8 @@
         self.acknowledged_disable(attempt, request, found);
     }
 
-    /// For how many seconds after a node learned that a server is out of service its attempts may still arrive
-    /// there.
+    /// For how many seconds after a node learned that a server is out of service its attempts may still
+    /// arrive there.
     fn grace(&self, at: f64) -> f64 {
         DRAIN_GRACE.as_secs_f64() + HELD_WRITE_SLACK_SECONDS + self.slack(at)
     }
@@ -53,7 +53,8 @@
         Some(Violation { at, rule: Rule::WithdrawnServer, description })
     }
 
-    /// [`Rule::AcknowledgedDisable`]: a node sends nothing to a server that an admin command disabled at it.
+    /// [`Rule::AcknowledgedDisable`]: a node sends nothing to a server that an admin command disabled at
+    /// it.
     fn acknowledged_disable(
         &self,
         attempt: &ServerAttempt,
@@ -76,15 +77,16 @@
         }
     }
 
-    /// [`Rule::SlowStartOverload`]: a server in slow start receives no more than its limit in any window, if
-    /// most of the requests are from nodes that knew of the restart.
+    /// [`Rule::SlowStartOverload`]: a server in slow start receives no more than its limit in any window,
+    /// if most of the requests are from nodes that knew of the restart.
     pub(super) fn slow_start_overload(&self, attempts: &[ServerAttempt], found: &mut Vec<Violation>) {
         let restarts = self.changes.iter().filter(|change| change.change == ServerChange::Restarted);
         found.extend(restarts.filter_map(|restart| self.first_overload(restart, attempts)));
     }
 
-    /// The first window after a restart in which the server received too many requests; `None` if there is none.
-    /// A window counts only if more than two thirds of its requests are from nodes that knew of the restart.
+    /// The first window after a restart in which the server received too many requests; `None` if there is
+    /// none. A window counts only if more than two thirds of its requests are from nodes that knew of the
+    /// restart.
     fn first_overload(
         &self,
         restart: &ServerChangeRecord,
@@ -102,7 +104,8 @@
             let limit = max_requests_in_window(from + window - restart.at);
             if count as f64 > limit && from_informed_nodes * 3 > count * 2 {
                 let description = format!(
-                    "server {} got {count} requests in {window} s, {:.1} s after it restarted; {limit:.0} are allowed",
+                    "server {} got {count} requests in {window} s, {:.1} s after it restarted; \
+                     {limit:.0} are allowed",
                     restart.server,
                     from - restart.at
                 );
@@ -133,10 +136,11 @@
     }
 }
 
-/// The number of requests that a server may receive in the window that ends `age_seconds` after its restart.
+/// The number of requests that a server may receive in the window that ends `age_seconds` after its
+/// restart.
 ///
-/// With N for the number that the settings allow at that age, this is N + 2 √N + 2, or N + 3 √N + 3 if N is less
-/// than 30. The excess over N covers the random variation of arrivals.
+/// With N for the number that the settings allow at that age, this is N + 2 √N + 2, or N + 3 √N + 3 if N is
+/// less than 30. The excess over N covers the random variation of arrivals.
 fn max_requests_in_window(age_seconds: f64) -> f64 {
     let full_rate_per_second = CORES as f64 / MEAN_SERVICE_TIME.as_secs_f64();
     let progress = (age_seconds / SLOW_START_TIME.as_secs_f64()).clamp(0.0, 1.0);
--- a/fault-soak/src/proxy.rs
+++ b/fault-soak/src/proxy.rs
@@ -42,7 +42,7 @@
             resets: watch::Sender::new(0),
             accept_task: Mutex::default(),
         });
-        proxy.accept(listener);
+        proxy.spawn_accept_task(listener);
         proxy
     }
 
@@ -58,7 +58,7 @@
             }
             self.reset_all();
         } else if before == ProxyMode::Down {
-            self.accept(listen(self.address));
+            self.spawn_accept_task(listen(self.address));
         }
     }
 
@@ -67,7 +67,7 @@
         self.resets.send_modify(|resets| *resets += 1);
     }
 
-    fn accept(self: &Arc<Self>, listener: TcpListener) {
+    fn spawn_accept_task(self: &Arc<Self>, listener: TcpListener) {
         let proxy = self.clone();
         let task = tokio::spawn(async move {
             while let Ok((node, _)) = listener.accept().await {
@@ -114,7 +114,8 @@
             return;
         }
         if mode.as_ref().is_some_and(|mode| *mode.borrow() == ProxyMode::DropServerOutput) {
-            // These bytes are lost. Bytes that came later would corrupt the stream, so none are forwarded either.
+            // These bytes are lost. Bytes that came later would corrupt the stream, so none are forwarded
+            // either.
             return std::future::pending().await;
         }
         if to.write_all(&buffer[..n]).await.is_err() {
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -1,8 +1,8 @@
 //! Records what the clients, the servers and discovery observed during a run.
 //!
-//! The oracle judges a run by these observations alone and not by what the nodes report about themselves. The
-//! tasks of the soak fill one shared [`Record`] while they run. All times are in seconds since the record was
-//! created, and all durations are in seconds.
+//! The oracle judges a run by these observations alone and not by what the nodes report about themselves.
+//! The tasks of the soak fill one shared [`Record`] while they run. All times are in seconds since the
+//! record was created, and all durations are in seconds.
 
 use crate::settings::RequestClass;
 use std::collections::HashMap;
@@ -49,7 +49,8 @@
     pub abandoned_at: Option<f64>,
     /// The response; `None` until it is complete.
     pub response: Option<ClientResponse>,
-    /// How the node ended the connection; `None` if the client got a response or closed the connection itself.
+    /// How the node ended the connection; `None` if the client got a response or closed the connection
+    /// itself.
     pub connection_close: Option<ConnectionClose>,
 }
 
@@ -71,7 +72,8 @@
     pub first_byte_at: f64,
     /// When the last byte arrived. The server may run the request from then on.
     pub last_byte_at: f64,
-    /// The time that the node left the server for a response; `None` if the attempt had no valid header for it.
+    /// The time that the node left the server for a response; `None` if the attempt had no valid header for
+    /// it.
     pub timeout_seconds: Option<f64>,
     /// Whether the server answered that it did not run the request.
     pub rejected: bool,
@@ -174,7 +176,8 @@
 pub enum Rule {
     /// Each request gets one final response in time.
     LostResponse,
-    /// No request runs more often than its class allows, and no server receives a request that no client sent.
+    /// No request runs more often than its class allows, and no server receives a request that no client
+    /// sent.
     DuplicateExecution,
     /// A server that was withdrawn receives no new requests.
     WithdrawnServer,
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -1,5 +1,5 @@
-//! Plays one run: starts all parts of the deployment, injects the scheduled faults under load, and has the oracle
-//! check the record.
+//! Plays one run: starts all parts of the deployment, injects the scheduled faults under load, and has the
+//! oracle check the record.
 
 use crate::client::Clients;
 use crate::discovery::Discovery;
@@ -7,7 +7,7 @@
 use crate::node::{Deployment, Node, free_address};
 use crate::oracle::{self, Violation};
 use crate::record::Record;
-use crate::schedule::{FleetSize, ScheduledFault};
+use crate::schedule::{RunSize, ScheduledFault};
 use crate::server::{CORES, MEAN_SERVICE_TIME, Server};
 use crate::settings::{NodeAddresses, RunParameters, settings};
 use std::path::{Path, PathBuf};
@@ -65,8 +65,8 @@
 }
 
 /// The limits for drawing the faults of a run.
-pub fn fleet_size(nodes: usize, servers: usize, duration_ms: u64) -> FleetSize {
-    FleetSize { nodes, first_persistent: nodes - nodes / PERSISTENT_ONE_IN, servers, duration_ms }
+pub fn run_size(nodes: usize, servers: usize, duration_ms: u64) -> RunSize {
+    RunSize { nodes, first_persistent: nodes - nodes / PERSISTENT_ONE_IN, servers, duration_ms }
 }
 
 /// Plays a run and returns once all its processes have exited.
@@ -240,7 +240,7 @@
     addresses: Vec<NodeAddresses>,
     deployment: &Arc<Deployment>,
 ) -> Vec<Arc<Node>> {
-    let first_persistent = fleet_size(plan.nodes, plan.servers, 0).first_persistent;
+    let first_persistent = run_size(plan.nodes, plan.servers, 0).first_persistent;
     let node = |(index, addresses)| {
         let faults = Arc::new(SyscallFaults::new(plan.seed as i64 * 1000 + index as i64));
         faults.set(SyscallFault::ShortBytes, SHORT_IO_BYTES);
--- a/fault-soak/src/schedule.rs
+++ b/fault-soak/src/schedule.rs
@@ -1,7 +1,7 @@
 //! Generates, prints and parses the schedule of the faults of a run.
 //!
-//! A failure that a random run finds is useful only if the run can be repeated. Therefore a seed determines its
-//! schedule, and a schedule can be printed as JSON lines and parsed again, to be replayed or shortened.
+//! A failure that a random run finds is useful only if the run can be repeated. Therefore a seed determines
+//! its schedule, and a schedule can be printed as JSON lines and parsed again, to be replayed or shortened.
 
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
@@ -10,8 +10,9 @@
 
 /// A fault to inject.
 ///
-/// `node` and `server` are indexes, fields whose names end in `_ms` are in milliseconds, and a rate `one_in` of N
-/// fails one call in N. The serialized names are part of the format of schedules, which are kept to be replayed.
+/// `node` and `server` are indexes, fields whose names end in `_ms` are in milliseconds, and a rate
+/// `one_in` of N fails one call in N. The serialized names are part of the format of schedules, which are
+/// kept to be replayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 #[allow(missing_docs, reason = "the fields are explained together at the enum")]
@@ -117,18 +118,18 @@
 pub struct ScheduledFault {
     /// In milliseconds since the clients began to send requests.
     pub at_ms: u64,
-    /// The fault, which also carries its own duration.
+    /// The fault with its parameters.
     #[serde(flatten)]
     pub fault: Fault,
 }
 
 /// The size and duration of a run, which limit the faults that can be drawn for it.
 #[derive(Clone, Copy, Debug)]
-pub struct FleetSize {
+pub struct RunSize {
     /// The number of nodes.
     pub nodes: usize,
-    /// The index of the first node whose listening socket and state folder outlive its processes; all nodes after
-    /// it are of the same kind. Only these nodes can be upgraded.
+    /// The index of the first persistent node, whose listening socket and state folder outlive its
+    /// processes; all nodes after it are persistent too. Only these nodes can be upgraded.
     pub first_persistent: usize,
     /// The number of servers.
     pub servers: usize,
@@ -136,8 +137,8 @@
     pub duration_ms: u64,
 }
 
-/// No fault begins within this time after the start, so that the nodes get to know their servers, and no group of
-/// faults begins within this time before the end.
+/// No fault begins within this time after the start, so that the nodes get to know their servers, and no
+/// group of faults begins within this time before the end.
 const QUIET_PERIOD_MS: u64 = 2000;
 /// The faults of a group begin within this time of each other, so that they overlap.
 const GROUP_SPREAD_MS: u64 = 600;
@@ -146,8 +147,9 @@
 
 /// Draws the faults of a seed, in order of time.
 ///
-/// The order of the random draws is part of the meaning of a seed: a change to it gives every seed another schedule.
-pub fn draw(seed: u64, size: FleetSize) -> Vec<ScheduledFault> {
+/// The order of the random draws is part of the meaning of a seed: a change to it gives every seed another
+/// schedule.
+pub fn draw(seed: u64, size: RunSize) -> Vec<ScheduledFault> {
     let mut rng = Rng::with_seed(seed);
     let mut faults = Vec::new();
     let mut at = QUIET_PERIOD_MS;
@@ -164,7 +166,7 @@
     faults
 }
 
-fn draw_fault(rng: &mut Rng, size: FleetSize) -> Fault {
+fn draw_fault(rng: &mut Rng, size: RunSize) -> Fault {
     let node = rng.usize(..size.nodes);
     let persistent = rng.usize(size.first_persistent..size.nodes);
     let server = rng.usize(..size.servers);
--- a/fault-soak/src/server.rs
+++ b/fault-soak/src/server.rs
@@ -1,7 +1,8 @@
 //! Simulates the servers behind the nodes.
 //!
-//! Each server has a few cores and a bounded queue, reports its load, and can be made to fail in several ways. It
-//! records each attempt that it receives, which the oracle compares with the requests of the clients.
+//! Each server has a few cores and a bounded queue, reports its load, and can be made to fail in several
+//! ways. It records each attempt that it receives, which the oracle compares with the requests of the
+//! clients.
 
 use crate::http::{Message, response_bytes};
 use crate::proxy::{Proxy, ProxyMode};
@@ -241,8 +242,8 @@
     }
 }
 
-/// The body of the response to a request that a server ran. It names the request and the server, so that the oracle
-/// can tell which attempt the response belongs to.
+/// The body of the response to a request that a server ran. It names the request and the server, so that
+/// the oracle can tell which attempt the response belongs to.
 pub fn body(id: u64, server: usize, response_number: u64) -> String {
     format!("{id:016x} served by {server} as {response_number}")
 }
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -1,7 +1,7 @@
 //! The parameters of the simulated deployment, and the settings and configuration files of its nodes.
 //!
-//! The oracle and the simulated servers use the constants of this module, so that they expect the behavior that the
-//! nodes are configured for.
+//! The oracle and the simulated servers use the constants of this module, so that they expect the behavior
+//! that the nodes are configured for.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -12,7 +12,8 @@
 pub enum RequestClass {
     /// Idempotent: may run any number of times.
     View,
-    /// Deduplicated: carries an idempotency key, by which every server drops repeats within `DEDUPLICATION_WINDOW`.
+    /// Deduplicated: carries an idempotency key, by which every server drops repeats within
+    /// `DEDUPLICATION_WINDOW`.
     Bid,
     /// At most once: must never run twice.
     Order,
@@ -26,8 +27,8 @@
 pub const SLOW_START_TIME: Duration = Duration::from_secs(6);
 /// The fraction of its full capacity that a restarted server has at first.
 pub const INITIAL_CAPACITY_FRACTION: f64 = 0.25;
-/// A server in slow start is overloaded if it is sent more than this multiple of its present capacity within
-/// `OVERLOAD_WINDOW`.
+/// A server in slow start is overloaded if it is sent more than this multiple of its present capacity
+/// within `OVERLOAD_WINDOW`.
 pub const OVERLOAD_MULTIPLE: f64 = 3.0;
 /// The window over which the load on a server in slow start is counted.
 pub const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
@@ -144,8 +145,8 @@
     pub sockets: usize,
 }
 
-/// The configuration file of one process. `peers` are the addresses of all nodes, and `server_list` is the list of
-/// servers that the process starts with.
+/// The configuration file of one process. `peers` are the addresses of all nodes, and `server_list` is the
+/// list of servers that the process starts with.
 pub fn config(
     process: &ProcessParameters,
     addresses: &NodeAddresses,
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -78,8 +78,8 @@
     }
 }
 
-/// A close of a reused connection before the response is not a loss, because the client retries; it is one if the
-/// node had read the request and sent an attempt.
+/// A close of a reused connection before the response is not a loss, because the client retries; it is one
+/// if the node had read the request and sent an attempt.
 #[test]
 fn a_late_truncated_or_missing_response_is_lost() {
     let late =
@@ -124,8 +124,9 @@
     }
 }
 
-/// Idempotent requests may repeat at any time, deduplicated ones within the deduplication window, and at-most-once
-/// ones only if the server rejected the earlier attempt. An attempt whose id no client sent is a duplicate too.
+/// Idempotent requests may repeat at any time, deduplicated ones within the deduplication window, and
+/// at-most-once ones only if the server rejected the earlier attempt. An attempt whose id no client sent is
+/// a duplicate too.
 #[test]
 fn a_repeat_that_the_class_forbids_is_a_duplicate() {
     let repeat_after = |seconds: f64| ServerAttempt {
@@ -239,8 +240,8 @@
     assert_eq!(broken_rules(&record(request(RequestClass::View), vec![beyond_deadline])), [Rule::Deadline]);
 }
 
-/// A rejection tells the client of an at-most-once request that it may send the request again, so it is wrong if a
-/// server may have run it.
+/// A rejection tells the client of an at-most-once request that it may send the request again, so it is
+/// wrong if a server may have run it.
 #[test]
 fn a_response_that_no_server_made_and_an_unsafe_rejection_are_reported() {
     let from_another_server =
