--- a/fault-soak/src/fault_injection.rs
+++ b/fault-soak/src/fault_injection.rs
@@ -21,7 +21,7 @@
 /// The longest time that a server keeps serving after discovery removed it from the list.
 const MAX_REMOVED_SERVER_LIFETIME: Duration = Duration::from_millis(1500);
 /// The delay until an admin command that failed is sent again.
-const COMMAND_RETRY: Duration = Duration::from_millis(200);
+const COMMAND_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The pauses between the requests of a client during a burst, in percent of the usual ones.
 const BURST_PAUSE_PERCENT: u64 = 60;
 /// The pauses between the requests of a client outside of bursts, in percent of the usual ones.
@@ -248,7 +248,7 @@
         // The node may use the server again as soon as it receives the command, even if its reply is lost.
         self.end_disabled_period(node, server);
         while !is_done(self.nodes[node].admin_command(&format!("enable-server {name}")).await) {
-            tokio::time::sleep(COMMAND_RETRY).await;
+            tokio::time::sleep(COMMAND_RETRY_DELAY).await;
         }
     }
 
