--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -167,7 +167,7 @@
         self.keys.decay(seconds);
         self.endpoints.rebuild_placement(now_ms, &self.slow_start);
         let blocked_share = self.endpoints.blocked_share(now_ms);
-        let fleet = self.fleet_view();
+        let fleet = self.fleet_load();
         let step_seconds = seconds.min(MAX_ADMISSION_STEP_SECONDS);
         self.admission.update(step_seconds, blocked_share, fleet, &self.settings, &self.classes);
         self.classes.iter_mut().for_each(|class| class.decay(step_seconds));
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -4,7 +4,7 @@
 //! the rules that must hold whatever the other modules decide.
 
 use super::action::{Action, RejectionReason};
-use super::admission::{Candidate, FleetView, Freshness};
+use super::admission::{FleetLoad, Freshness, OfferedRequest};
 use super::balancer::Balancer;
 use super::event::AttemptOutcome;
 use super::hash::mix;
@@ -53,8 +53,8 @@
             Freshness::TooOld => terms.weight * terms.late_weight_factor,
         };
         let candidate =
-            Candidate { class: request.class, freshness, cost_ms: self.cost_ms(&request), weight };
-        let fleet = self.fleet_view();
+            OfferedRequest { class: request.class, freshness, cost_ms: self.cost_ms(&request), weight };
+        let fleet = self.fleet_load();
         let admitted = self.admission.decide(candidate, fleet, &self.settings, &mut self.rng);
         if let Some(key) = request.key {
             self.keys.record(mix(key));
@@ -116,8 +116,8 @@
     }
 
     /// What admission sees of the node and the fleet.
-    pub(super) fn fleet_view(&self) -> FleetView {
-        FleetView {
+    pub(super) fn fleet_load(&self) -> FleetLoad {
+        FleetLoad {
             in_flight: self.in_flight,
             endpoints: self.endpoints.placement().len(),
             utilization: self.utilization.mean(),
