--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -295,11 +295,12 @@
         let weights = settings.objective_weights;
         let lowest_served_share = classes.iter().map(ClassStatistics::served_share).fold(1.0, f64::min);
         let classes = || classes.iter().zip(&settings.classes);
-        let total_value: f64 =
-            classes().map(|(statistics, class)| statistics.requested() * class.priority_weight).sum();
+        let total_value: f64 = classes()
+            .map(|(statistics, class)| statistics.recent_first_tries() * class.priority_weight)
+            .sum();
         let mut ranked = Vec::with_capacity(2 * self.groups.len());
         for (index, (statistics, class)) in classes().enumerate() {
-            let class_value = (statistics.requested() * class.priority_weight).max(MIN_DIVISOR);
+            let class_value = (statistics.recent_first_tries() * class.priority_weight).max(MIN_DIVISOR);
             let share_above_lowest = statistics.served_share() - lowest_served_share;
             let worst_class_share = (1.0 - share_above_lowest / WORST_CLASS_MARGIN).max(0.0);
             let objective_gain = (weights.whole + weights.worst_window) / total_value.max(MIN_DIVISOR)
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -1,56 +1,69 @@
-//! What a node learns of each request class: how long answers take, how many are served, and how much time
-//! clients give.
+//! Learns, for each class of requests, how long answers take, what share of requests is served, and how
+//! much time clients allow.
+//!
+//! Timeouts, admission and the estimate of a client's earlier tries depend on these figures, and none of
+//! them is configured. Each node learns them from its own traffic, as moving averages and decaying counts.
 
-/// Number of answers from which the estimates are used.
+/// Number of answers from which the estimates of a class are used.
 const MIN_ANSWERS: u64 = 20;
-/// Weight of one answer in the moving averages, once there are enough.
-const STEP: f64 = 0.02;
-/// The upper quantile rises by this factor with an answer above it and falls by the other with one below,
-/// which makes it the time that four of five answers stay below.
+/// Weight of one answer in the moving averages, after the first [`MIN_ANSWERS`] answers.
+const AVERAGE_STEP: f64 = 0.02;
+/// Factor by which an answer that takes longer than the upper quantile raises it. Together with
+/// [`QUANTILE_FALL`] it makes the quantile settle at the time below which four of five answers stay.
 const QUANTILE_RISE: f64 = 1.02;
+/// Factor by which an answer that takes no longer than the upper quantile lowers it.
 const QUANTILE_FALL: f64 = 0.995;
-/// The time in quiet periods follows the upper quantile down at once, and up by this part a second.
-const QUIET_RISE_PER_SECOND: f64 = 0.01;
-/// Counts of requests and served ones fade to a third in this time, in seconds.
-const SERVED_MEMORY_SECONDS: f64 = 20.0;
-/// How far the failure share moves towards one outcome.
+/// Relative rise of the baseline quantile per second, towards the upper quantile. It follows the upper
+/// quantile down at once.
+const BASELINE_RISE_PER_SECOND: f64 = 0.01;
+/// Time constant of the exponential decay of the counts of requests and of served requests, in seconds.
+const COUNT_TIME_CONSTANT_SECONDS: f64 = 20.0;
+/// Weight of one attempt in the moving average of the failure share.
 const FAILURE_STEP: f64 = 0.05;
-/// Client deadlines are counted in bins of one hundredth of the class's deadline.
-const WAIT_BINS: usize = 101;
-/// Decay of these counts with each first try.
-const WAIT_DECAY: f64 = 0.998;
-/// With fewer tries in the fullest bin, the usual client deadlines are unknown.
-const MIN_WAIT_EVIDENCE: f64 = 8.0;
-/// A client deadline is usual if the bins this near to it hold more than a part of the fullest bin: half of
-/// it, or a small part if clients mark their retries.
-const WAIT_NEIGHBOURS: usize = 2;
-const USUAL_PART: f64 = 0.5;
-const USUAL_PART_WITH_MARKS: f64 = 0.05;
-/// A client deadline is short if it is less than the mean answer time plus this many deviations ...
+/// Number of bins in which client deadlines are counted, each one hundredth of the class's deadline wide.
+const DEADLINE_BINS: usize = 101;
+/// Factor by which every first try decays the deadline counts.
+const DEADLINE_COUNT_RETENTION: f64 = 0.998;
+/// Count in the fullest bin below which the common client deadlines are unknown.
+const MIN_DEADLINE_COUNT: f64 = 8.0;
+/// Distance, in bins, within which a bin's neighbours are counted together with it.
+const NEIGHBOUR_BINS: usize = 2;
+/// Share of the fullest bin's count above which the count of a bin and its neighbours makes a client
+/// deadline common.
+const COMMON_DEADLINE_SHARE: f64 = 0.5;
+/// The same share as [`COMMON_DEADLINE_SHARE`] for clients that mark their retries: retries are then
+/// excluded from the counts, and a small share is sufficient.
+const COMMON_DEADLINE_SHARE_WITH_MARKED_RETRIES: f64 = 0.05;
+/// Mean deviations above the mean answer time below which a client deadline is short.
 const SHORT_DEADLINE_DEVIATIONS: f64 = 2.0;
-/// ... and less than this part of the latency objective.
-const SHORT_DEADLINE_PART: f64 = 0.5;
-/// n, the short attempt timeout, is the mean plus this many deviations.
+/// Share of the latency objective below which a client deadline is short.
+const SHORT_DEADLINE_OBJECTIVE_SHARE: f64 = 0.5;
+/// Mean deviations that are added to the mean answer time for the short attempt timeout n.
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
-/// A mean is taken for no less than this, in milliseconds.
+/// Lower bound of the reported mean answer time, in milliseconds.
 const MIN_MEAN_MS: f64 = 1.0;
 
-/// What this node has learned of one class.
+/// Statistics of one class of requests, as seen by this node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ClassStatistics {
-    /// Mean time of answers, in milliseconds; it stands in for the class's work.
+    /// Mean answer time, in milliseconds; also used as the estimated work of a request of the class.
     mean_ms: f64,
-    /// Mean deviation of that.
+    /// Mean absolute deviation of the answer time, in milliseconds.
     deviation_ms: f64,
+    /// Number of answers recorded.
     answers: u64,
-    /// Four of five answers take less, in milliseconds.
+    /// Time below which four of five answers stay, in milliseconds.
     upper_quantile_ms: f64,
-    /// The same in quiet periods.
-    quiet_quantile_ms: f64,
-    /// How often first tries came with a client deadline of each hundredth of the class's deadline.
-    waits: Vec<f64>,
-    requested: f64,
-    served: f64,
+    /// Low-pass minimum of the upper quantile, in milliseconds: the time below which four of five answers
+    /// stay while the endpoints are not overloaded.
+    baseline_quantile_ms: f64,
+    /// Decaying count of first tries per bin of the client deadline, from 0 to 100 hundredths of the
+    /// class's deadline.
+    deadline_counts: Vec<f64>,
+    /// Decaying count of requests, without the retries of clients.
+    recent_first_tries: f64,
+    /// Decaying count of requests that were answered within their objective.
+    recent_served: f64,
     /// Share of recent attempts, over all endpoints, that were rejected, late or lost.
     failure_share: f64,
 }
@@ -58,103 +71,119 @@
 impl ClassStatistics {
     /// Estimates the time that a client has spent on earlier tries, in milliseconds.
     ///
-    /// Most first tries come with one of a few client deadlines. A try with an unusual deadline is taken
-    /// for a later try, whose deadline shows when the first began. If clients mark their retries
-    /// (`is_retry` is given), a first try may come with any deadline, and a retry counts as young if some
-    /// first tries come with the same one. Misjudges clients with short deadlines whose retries have the
-    /// rest of a longer one.
+    /// `time_to_deadline_ms` is the time that the client allows for this try; `class_deadline_ms` is the
+    /// longest that a client of this class waits over all its tries. `is_retry` is `None` if clients do not
+    /// mark their retries.
+    ///
+    /// Most first tries arrive with one of a few common client deadlines. A try with an uncommon deadline
+    /// is taken for a retry, and the time missing from the class's deadline is the time since the first
+    /// try. If clients mark their retries, a first try may arrive with any deadline, and a retry is taken
+    /// for a recent request if some first tries arrive with the same deadline. The estimate is wrong for
+    /// clients with short deadlines whose retries use the rest of a longer one.
     pub fn estimate_client_age_ms(
         &mut self,
-        wait_ms: f64,
-        deadline_ms: f64,
+        time_to_deadline_ms: f64,
+        class_deadline_ms: f64,
         is_retry: Option<bool>,
     ) -> f64 {
-        self.waits.resize(WAIT_BINS, 0.0);
-        let last_bin = WAIT_BINS - 1;
-        let bin = (wait_ms / deadline_ms * 100.0).round().clamp(0.0, 100.0) as usize;
+        self.deadline_counts.resize(DEADLINE_BINS, 0.0);
+        let last_bin = DEADLINE_BINS - 1;
+        let bin = (time_to_deadline_ms / class_deadline_ms * 100.0).round().clamp(0.0, 100.0) as usize;
         if is_retry != Some(true) {
-            self.waits.iter_mut().for_each(|count| *count *= WAIT_DECAY);
-            self.waits[bin] += 1.0;
+            self.deadline_counts.iter_mut().for_each(|count| *count *= DEADLINE_COUNT_RETENTION);
+            self.deadline_counts[bin] += 1.0;
+        }
+        let highest_count = self.deadline_counts.iter().copied().fold(0.0, f64::max);
+        let neighbours = bin.saturating_sub(NEIGHBOUR_BINS)..=(bin + NEIGHBOUR_BINS).min(last_bin);
+        let nearby_count: f64 = self.deadline_counts[neighbours].iter().sum();
+        let common_share = if is_retry.is_some() {
+            COMMON_DEADLINE_SHARE_WITH_MARKED_RETRIES
+        } else {
+            COMMON_DEADLINE_SHARE
+        };
+        let is_common = highest_count < MIN_DEADLINE_COUNT || nearby_count > highest_count * common_share;
+        if is_retry == Some(false) || is_common {
+            0.0
+        } else {
+            (class_deadline_ms - time_to_deadline_ms).max(0.0)
         }
-        let fullest = self.waits.iter().copied().fold(0.0, f64::max);
-        let neighbours = bin.saturating_sub(WAIT_NEIGHBOURS)..=(bin + WAIT_NEIGHBOURS).min(last_bin);
-        let nearby: f64 = self.waits[neighbours].iter().sum();
-        let usual_part = if is_retry.is_some() { USUAL_PART_WITH_MARKS } else { USUAL_PART };
-        let is_usual = fullest < MIN_WAIT_EVIDENCE || nearby > fullest * usual_part;
-        if is_retry == Some(false) || is_usual { 0.0 } else { (deadline_ms - wait_ms).max(0.0) }
     }
 
-    /// Records how long an answer took, in milliseconds.
+    /// Records the time that an answer took, in milliseconds.
     pub fn record_answer(&mut self, elapsed_ms: f64) {
-        let step = if self.answers < MIN_ANSWERS { 1.0 / (self.answers as f64 + 1.0) } else { STEP };
+        let step =
+            if self.answers < MIN_ANSWERS { 1.0 / (self.answers as f64 + 1.0) } else { AVERAGE_STEP };
         self.answers += 1;
         if self.answers < MIN_ANSWERS {
             self.upper_quantile_ms = self.mean_ms;
-            self.quiet_quantile_ms = self.mean_ms;
+            self.baseline_quantile_ms = self.mean_ms;
         }
-        let is_above = elapsed_ms > self.upper_quantile_ms;
-        self.upper_quantile_ms *= if is_above { QUANTILE_RISE } else { QUANTILE_FALL };
+        let is_above_quantile = elapsed_ms > self.upper_quantile_ms;
+        self.upper_quantile_ms *= if is_above_quantile { QUANTILE_RISE } else { QUANTILE_FALL };
         self.deviation_ms += step * ((elapsed_ms - self.mean_ms).abs() - self.deviation_ms);
         self.mean_ms += step * (elapsed_ms - self.mean_ms);
     }
 
-    /// Counts a request; `is_first` if its client has not tried before.
-    pub fn record_request(&mut self, is_first: bool) {
-        self.requested += if is_first { 1.0 } else { 0.0 };
+    /// Counts a request; only first tries of a client are counted.
+    pub fn record_request(&mut self, is_first_try: bool) {
+        self.recent_first_tries += if is_first_try { 1.0 } else { 0.0 };
     }
 
-    /// Counts a request that was answered within its objective.
+    /// Counts a request that was answered within its latency objective.
     pub fn record_served(&mut self) {
-        self.served += 1.0;
+        self.recent_served += 1.0;
     }
 
-    /// Counts an attempt that the endpoints answered in time or failed.
-    pub fn record_failure(&mut self, failed: f64) {
-        self.failure_share += FAILURE_STEP * (failed - self.failure_share);
+    /// Records an attempt: `failure` is 1 if it was rejected, late or lost, and 0 if it was answered within
+    /// the objective.
+    pub fn record_attempt(&mut self, failure: f64) {
+        self.failure_share += FAILURE_STEP * (failure - self.failure_share);
     }
 
-    /// Lets the counts fade by the time that has passed, and the quiet time follow.
+    /// Decays the counts and moves the baseline quantile towards the upper quantile, after `seconds` have
+    /// passed.
     pub fn decay(&mut self, seconds: f64) {
-        let keep = (-seconds / SERVED_MEMORY_SECONDS).exp();
-        self.requested *= keep;
-        self.served *= keep;
-        let risen = self.quiet_quantile_ms * (1.0 + QUIET_RISE_PER_SECOND * seconds);
-        self.quiet_quantile_ms = risen.min(self.upper_quantile_ms);
+        let retained = (-seconds / COUNT_TIME_CONSTANT_SECONDS).exp();
+        self.recent_first_tries *= retained;
+        self.recent_served *= retained;
+        let risen_ms = self.baseline_quantile_ms * (1.0 + BASELINE_RISE_PER_SECOND * seconds);
+        self.baseline_quantile_ms = risen_ms.min(self.upper_quantile_ms);
     }
 
-    /// Share of recent attempts, over all endpoints, that were rejected, late or lost.
+    /// Share of recent attempts, over all endpoints, that were rejected, late or lost, 0 to 1.
     pub fn failure_share(&self) -> f64 {
         self.failure_share
     }
 
-    /// Requests lately, without further tries.
-    pub fn requested(&self) -> f64 {
-        self.requested
+    /// Decaying count of requests, without the retries of clients.
+    pub fn recent_first_tries(&self) -> f64 {
+        self.recent_first_tries
     }
 
-    /// Part of these that was answered within the objective; 1 where there were none.
+    /// Share of recent requests that were answered within their objective; 1 if there were no requests.
     pub fn served_share(&self) -> f64 {
-        if self.requested > 0.0 { self.served / self.requested } else { 1.0 }
+        if self.recent_first_tries > 0.0 { self.recent_served / self.recent_first_tries } else { 1.0 }
     }
 
-    /// The mean time of an answer, at least 1 ms.
+    /// Mean answer time, in milliseconds, at least [`MIN_MEAN_MS`].
     pub fn mean_ms(&self) -> f64 {
         self.mean_ms.max(MIN_MEAN_MS)
     }
 
-    /// The time that four of five answers stay below in quiet periods, in milliseconds.
-    pub fn quiet_quantile_ms(&self) -> f64 {
-        self.quiet_quantile_ms
+    /// Time below which four of five answers stay while the endpoints are not overloaded, in milliseconds.
+    pub fn baseline_quantile_ms(&self) -> f64 {
+        self.baseline_quantile_ms
     }
 
-    /// Whether a client deadline is so short that a timeout says nothing about the endpoint.
-    pub fn is_short_deadline(&self, allowed_ms: f64, latency_objective_ms: f64) -> bool {
-        allowed_ms < latency_objective_ms * SHORT_DEADLINE_PART
+    /// Returns whether a client deadline is so short that a timeout says nothing about the endpoint.
+    pub fn is_short_deadline(&self, time_to_deadline_ms: f64, latency_objective_ms: f64) -> bool {
+        time_to_deadline_ms < latency_objective_ms * SHORT_DEADLINE_OBJECTIVE_SHARE
             && self.answers >= MIN_ANSWERS
-            && allowed_ms < self.mean_ms + SHORT_DEADLINE_DEVIATIONS * self.deviation_ms
+            && time_to_deadline_ms < self.mean_ms + SHORT_DEADLINE_DEVIATIONS * self.deviation_ms
     }
 
-    /// n, the time by which nearly all answers have come, in milliseconds; none where too few are known.
+    /// Returns the short attempt timeout n, by which nearly all answers have arrived, in milliseconds.
+    /// Returns `None` if there have been too few answers to estimate it.
     pub fn short_timeout_ms(&self) -> Option<f64> {
         (self.answers >= MIN_ANSWERS).then_some(self.mean_ms + TIMEOUT_DEVIATIONS * self.deviation_ms)
     }
--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -184,7 +184,7 @@
         }
         let Some(class) = self.classes.get_mut(ended.class) else { return false };
         let failed = f64::from(u8::from(!ended.in_objective));
-        class.record_failure(failed);
+        class.record_attempt(failed);
         let failures = &mut self.endpoints[index].class_failures;
         failures.record(now_ms, ended.class, failed);
         !ended.in_objective && failures.is_isolated_outlier(now_ms, ended.class, &self.classes)
@@ -199,7 +199,7 @@
             return 1.0;
         }
         let objective_ms = self.settings.latency_objective_ms(ended.class);
-        let quiet_ms = self.classes.get(ended.class).map_or(0.0, |class| class.quiet_quantile_ms());
+        let quiet_ms = self.classes.get(ended.class).map_or(0.0, |class| class.baseline_quantile_ms());
         let usual_ms = quiet_ms.min(MAX_USUAL_PART * objective_ms);
         let strained_ms = (usual_ms * objective_ms).sqrt();
         ((ended.elapsed_ms - strained_ms) / (objective_ms - strained_ms)).clamp(0.0, 1.0)
