--- a/src/policy/class_outlier.rs
+++ b/src/policy/class_outlier.rs
@@ -1,53 +1,59 @@
-//! Finds a class that fails at one endpoint only.
+//! Detects a class of requests that fails at one endpoint only.
 //!
-//! Some faults concern one kind of work, which hangs or is rejected while all else is served. The failure
-//! record would have to give up the endpoint for all classes. So failures are also counted by class: the keys
-//! of a class that is an outlier have their candidates among the other endpoints, and its failures are not
-//! counted against the endpoint. Where it is chance, a few keys move for some seconds.
+//! Some faults affect only one kind of work: it hangs or is rejected, while the endpoint serves all other
+//! requests. If the failure record counted these failures, the endpoint would become congested for all
+//! classes.
+//!
+//! Failures are therefore also counted by class. Rendezvous hashing skips an endpoint for the keys of a
+//! class that is an outlier there, and while another class is served, the failures of the outlier are not
+//! counted against the endpoint. If random variation alone makes a class an outlier, the only effect is
+//! that a few keys move for some seconds.
 
 use super::class_statistics::ClassStatistics;
-use super::decaying_mean::{DecayingMean, MEMORY_MS};
+use super::decaying_mean::{DECAY_TIME_CONSTANT_MS, DecayingMean};
 
-/// Failure share from which a class may be an outlier.
+/// Failure share above which a class can be an outlier.
 const MIN_FAILURE_SHARE: f64 = 0.35;
-/// It must be this many times the class's share over all endpoints.
+/// Ratio of the failure share at this endpoint to the failure share over all endpoints above which a class
+/// is an outlier.
 const OUTLIER_FACTOR: f64 = 2.0;
-/// How far the share moves towards one outcome.
-const STEP: f64 = 0.15;
+/// Weight of one outcome in the moving average of the failure share.
+const SHARE_STEP: f64 = 0.15;
 
-/// By class, the share of attempts that one endpoint rejected, lost or answered late.
+/// Failure shares of one endpoint: for each class, the share of recent attempts that it rejected, lost or
+/// answered late.
 #[derive(Debug)]
 pub(super) struct ClassFailures {
     shares: Vec<DecayingMean>,
 }
 
 impl ClassFailures {
-    /// For a number of classes, without a failure.
+    /// Creates the record for `classes` request classes, without failures.
     pub fn new(classes: usize) -> ClassFailures {
         ClassFailures { shares: vec![DecayingMean::default(); classes] }
     }
 
-    /// Takes in an outcome: 1 for a failure, 0 for a success.
-    pub fn record(&mut self, now_ms: f64, class: usize, failed: f64) {
+    /// Records the outcome of an attempt: `failure` is 1 for a failure and 0 for a success.
+    pub fn record(&mut self, now_ms: f64, class: usize, failure: f64) {
         if let Some(share) = self.shares.get_mut(class) {
-            share.observe(now_ms, 0.0, failed, STEP);
+            share.observe(now_ms, 0.0, failure, SHARE_STEP);
         }
     }
 
-    /// Whether a class fails here far more often than at large.
+    /// Returns whether a class fails at this endpoint far more often than at all endpoints together.
     pub fn is_outlier(&self, now_ms: f64, class: usize, classes: &[ClassStatistics]) -> bool {
-        let at_large = classes.get(class).map_or(1.0, ClassStatistics::failure_share);
-        let threshold = MIN_FAILURE_SHARE.max(OUTLIER_FACTOR * at_large);
+        let fleet_share = classes.get(class).map_or(1.0, ClassStatistics::failure_share);
+        let threshold = MIN_FAILURE_SHARE.max(OUTLIER_FACTOR * fleet_share);
         self.shares.get(class).is_some_and(|share| share.at(now_ms, 0.0) > threshold)
     }
 
-    /// Whether a class is an outlier while another was lately served here.
+    /// Returns whether a class is an outlier while this endpoint has recently served another class.
     pub fn is_isolated_outlier(&self, now_ms: f64, class: usize, classes: &[ClassStatistics]) -> bool {
-        let is_served = |other: usize| {
+        let is_other_served = |other: usize| {
             other != class
-                && self.shares[other].age_ms(now_ms) < MEMORY_MS
+                && self.shares[other].age_ms(now_ms) < DECAY_TIME_CONSTANT_MS
                 && !self.is_outlier(now_ms, other, classes)
         };
-        self.is_outlier(now_ms, class, classes) && (0..self.shares.len()).any(is_served)
+        self.is_outlier(now_ms, class, classes) && (0..self.shares.len()).any(is_other_served)
     }
 }
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -22,7 +22,7 @@
 const FAILURE_STEP: f64 = 0.05;
 /// Number of bins in which client deadlines are counted, each one hundredth of the class's deadline wide.
 const DEADLINE_BINS: usize = 101;
-/// Factor by which every first try decays the deadline counts.
+/// Factor by which every counted try decays the deadline counts.
 const DEADLINE_COUNT_RETENTION: f64 = 0.998;
 /// Count in the fullest bin below which the common client deadlines are unknown.
 const MIN_DEADLINE_COUNT: f64 = 8.0;
@@ -54,11 +54,11 @@
     answers: u64,
     /// Time below which four of five answers stay, in milliseconds.
     upper_quantile_ms: f64,
-    /// Low-pass minimum of the upper quantile, in milliseconds: the time below which four of five answers
-    /// stay while the endpoints are not overloaded.
+    /// The upper quantile while the endpoints are not overloaded, in milliseconds. It follows the upper
+    /// quantile down at once and up slowly.
     baseline_quantile_ms: f64,
-    /// Decaying count of first tries per bin of the client deadline, from 0 to 100 hundredths of the
-    /// class's deadline.
+    /// Decaying count of tries per bin of the client deadline, from 0 to 100 hundredths of the class's
+    /// deadline. Empty before the first request. Marked retries are not counted.
     deadline_counts: Vec<f64>,
     /// Decaying count of requests, without the retries of clients.
     recent_first_tries: f64,
@@ -176,6 +176,7 @@
     }
 
     /// Returns whether a client deadline is so short that a timeout says nothing about the endpoint.
+    /// Returns `false` until enough answers are known.
     pub fn is_short_deadline(&self, time_to_deadline_ms: f64, latency_objective_ms: f64) -> bool {
         time_to_deadline_ms < latency_objective_ms * SHORT_DEADLINE_OBJECTIVE_SHARE
             && self.answers >= MIN_ANSWERS
--- a/src/policy/endpoint_set.rs
+++ b/src/policy/endpoint_set.rs
@@ -7,7 +7,7 @@
 
 use super::class_outlier::ClassFailures;
 use super::concurrency_limit::{ConcurrencyLimit, initial_limit};
-use super::decaying_mean::{DecayingMean, MEMORY_MS};
+use super::decaying_mean::{DECAY_TIME_CONSTANT_MS, DecayingMean};
 use super::endpoint::{EndpointId, EndpointSnapshot, EndpointState, EndpointUpdate, Location};
 use super::event::WatchUpdate;
 use super::failure_record::FailureRecord;
@@ -319,7 +319,7 @@
 
     /// Brings what fades and what fills up to date.
     pub fn decay(&mut self, now_ms: f64, seconds: f64, budget: &SlowStartBudget) {
-        let busy_retained = (-seconds * 1000.0 / MEMORY_MS).exp();
+        let busy_retained = (-seconds * 1000.0 / DECAY_TIME_CONSTANT_MS).exp();
         let served_retained = (-seconds).exp();
         for endpoint in &mut self.endpoints {
             let tokens = budget.tokens(now_ms, &endpoint.slow_start, endpoint.served_per_second);
