--- a/src/policy/load_report.rs
+++ b/src/policy/load_report.rs
@@ -1,67 +1,73 @@
-//! What endpoints report of their load, and how utilized the fleet is by that.
+//! Holds the load reports of endpoints and estimates the utilization of endpoints and of the fleet from
+//! them.
 //!
-//! Reports are some time old, not exact and seldom complete. They are condensed into one figure, the
-//! utilization of an endpoint, which fades towards the mean of all endpoints when no report comes.
+//! Load reports arrive late, are not exact and are rarely complete. They are condensed into one figure for
+//! each endpoint, its utilization, which decays towards the mean of all endpoints while no report arrives.
 
 use super::decaying_mean::DecayingMean;
 use super::event::AttemptOutcome;
 
-/// Where only the queue is reported, work of this part of the latency objective makes an endpoint half
-/// utilized.
-const HALF_UTILIZED_PART: f64 = 8.0;
-/// A report that follows another soon counts less, down to this much less: it is noise of the same moment.
+/// Divisor of the latency objective that gives the queued work at which an endpoint counts as half
+/// utilized, if it reports its queue and not its utilization.
+const HALF_UTILIZATION_DIVISOR: f64 = 8.0;
+/// Largest reduction of a report's weight, 0 to 1, if the previous report has just arrived: reports in
+/// quick succession contain the same noise.
 const REPEATED_REPORT_DISCOUNT: f64 = 0.7;
-/// How soon that is, in milliseconds.
-const REPEATED_REPORT_MS: f64 = 1000.0;
-/// How far the mean of all endpoints moves towards one report.
-const FLEET_STEP: f64 = 0.05;
+/// Time constant with which the reduction fades as the previous report gets older, in milliseconds.
+const REPEATED_REPORT_TIME_CONSTANT_MS: f64 = 1000.0;
+/// Weight of one report in the moving average over all endpoints.
+const FLEET_MEAN_STEP: f64 = 0.05;
 
-/// An endpoint's report of its load, as far as it gave one.
+/// The load of an endpoint as it reported it itself. A field is `None` if the endpoint did not report the
+/// figure.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it holds.
+    /// Requests that the endpoint holds, queued or running.
     pub in_flight: Option<f64>,
-    /// Requests that wait.
+    /// Requests that wait in the endpoint's queue.
     pub queued: Option<f64>,
-    /// Busy share of its cores, 0 to 1.
+    /// Share of its cores' time that the endpoint is busy, 0 to 1.
     pub utilization: Option<f64>,
-    /// Recent service time, in milliseconds.
+    /// Recent service time of a request, in milliseconds.
     pub latency_ms: Option<f64>,
-    /// Requests served a second.
+    /// Requests that the endpoint serves per second.
     pub requests_per_second: Option<f64>,
-    /// Errors a second.
+    /// Requests per second that end in an error at the endpoint.
     pub errors_per_second: Option<f64>,
 }
 
 impl LoadReport {
-    /// How utilized the endpoint is, 0 to 1: how busy its cores are or, where only the queue is reported, the
-    /// work in it.
+    /// Returns the utilization of the endpoint, 0 to 1: the reported one or, if only the queue is reported,
+    /// an estimate from the work in the queue. Returns `None` if the report has neither.
     fn estimated_utilization(&self, latency_objective_ms: f64) -> Option<f64> {
-        let by_queue = self.queued.or(self.in_flight).zip(self.latency_ms).map(|(requests, latency_ms)| {
-            let work_ms = requests * latency_ms;
-            work_ms / (work_ms + latency_objective_ms / HALF_UTILIZED_PART)
-        });
-        self.utilization.or(by_queue).map(|utilization| utilization.clamp(0.0, 1.0))
+        let queue_utilization =
+            self.queued.or(self.in_flight).zip(self.latency_ms).map(|(requests, latency_ms)| {
+                let queued_work_ms = requests * latency_ms;
+                queued_work_ms / (queued_work_ms + latency_objective_ms / HALF_UTILIZATION_DIVISOR)
+            });
+        self.utilization.or(queue_utilization).map(|utilization| utilization.clamp(0.0, 1.0))
     }
 }
 
-/// Mean utilization that answers report, over all endpoints.
+/// The utilization of the fleet: the moving average of what endpoints report in their answers.
 #[derive(Debug, Default)]
 pub(super) struct FleetUtilization {
     mean: f64,
 }
 
 impl FleetUtilization {
-    /// The mean, 0 to 1; 0 where nothing is reported.
+    /// Mean utilization over all endpoints, 0 to 1; 0 if none reports its load.
     pub fn mean(&self) -> f64 {
         self.mean
     }
 
-    /// What an attempt's end says of its endpoint's utilization.
+    /// Returns the utilization, 0 to 1, that the end of an attempt shows at its endpoint. Returns `None` if
+    /// it shows nothing.
     ///
-    /// One that fails or rejects fast looks idle, so its failures count as full utilization. That holds
-    /// only among endpoints that report: where none does, failures alone would make up the mean.
-    pub fn observed(
+    /// An endpoint that fails or rejects requests quickly looks idle, so its failures count as full
+    /// utilization. They are ignored as long as no endpoint reports its load: otherwise the mean would
+    /// consist of failures alone.
+    pub fn observed_utilization(
         &self,
         outcome: AttemptOutcome,
         report: &LoadReport,
@@ -74,11 +80,11 @@
         }
     }
 
-    /// Takes an observation into an endpoint's utilization and into the mean of all.
+    /// Records an observed utilization in the moving average of its endpoint and in that of the fleet.
     pub fn record(&mut self, now_ms: f64, endpoint: &mut DecayingMean, utilization: f64) {
         let age_ms = endpoint.age_ms(now_ms);
-        let part = 1.0 - REPEATED_REPORT_DISCOUNT * (-age_ms / REPEATED_REPORT_MS).exp();
-        endpoint.observe(now_ms, self.mean, utilization, part);
-        self.mean += FLEET_STEP * (utilization - self.mean);
+        let step = 1.0 - REPEATED_REPORT_DISCOUNT * (-age_ms / REPEATED_REPORT_TIME_CONSTANT_MS).exp();
+        endpoint.observe(now_ms, self.mean, utilization, step);
+        self.mean += FLEET_MEAN_STEP * (utilization - self.mean);
     }
 }
--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -94,7 +94,7 @@
 
     fn learn_utilization(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt, load: &LoadReport) {
         let objective_ms = self.settings.latency_objective_ms(ended.class);
-        if let Some(observed) = self.utilization.observed(ended.outcome, load, objective_ms) {
+        if let Some(observed) = self.utilization.observed_utilization(ended.outcome, load, objective_ms) {
             let endpoint = &mut self.endpoints[index];
             self.utilization.record(now_ms, &mut endpoint.utilization, observed);
         }
