--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -1,8 +1,8 @@
-//! What the end of an attempt says of its endpoint, its class and the fleet.
+//! Feeds the end of an attempt to the estimates about its endpoint, its class and the fleet.
 //!
-//! One outcome feeds several estimates, and some outcomes say nothing of the endpoint: attempts that
-//! the node itself cancelled, timeouts at a short client deadline, failures of one class alone. This
-//! module decides who learns from what; each estimate has its own module.
+//! One outcome updates several estimates, and some outcomes say nothing about the endpoint: attempts that
+//! the node itself cancelled, timeouts at a short client deadline, and failures of one class alone. This
+//! module decides which estimates learn from an outcome; each estimate has its own module.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -12,38 +12,43 @@
 use super::event::AttemptOutcome;
 use super::load_report::LoadReport;
 
-/// How far the failure share of all endpoints moves towards one outcome.
-const FLEET_FAILURE_STEP: f64 = 0.02;
-/// At most this part of the unused concurrency limit is cut at once, the more the more the fleet is
-/// overloaded: one late answer in quiet times takes next to nothing.
+/// Weight of one outcome in the moving average of the failure share of all endpoints.
+const FLEET_FAILURE_SHARE_STEP: f64 = 0.02;
+/// Largest share of the unused part of a concurrency limit that one outcome removes. The share grows with
+/// the overload of the fleet, so that one late answer while the fleet is not overloaded removes next to
+/// nothing.
 const MAX_UNUSED_CUT_SHARE: f64 = 0.5;
-/// The cut grows with the fleet's overload by this slope, in targets: all of that part is cut from half the
-/// target on.
+/// Slope at which the removed share of the unused limit grows with the fleet's overload, in units of
+/// [`TARGET_OVERLOAD`]. With a slope of 2 the largest share is reached at half the target.
 const UNUSED_CUT_SLOPE: f64 = 2.0;
-/// The usual time of a class is taken for at most this part of its objective.
-const MAX_USUAL_PART: f64 = 0.8;
-/// A timeout noticed this many batches late is a stall of this node.
-const OWN_STALL_BATCHES: f64 = 20.0;
+/// Upper bound of a class's baseline answer time, as a share of its latency objective.
+const MAX_BASELINE_OBJECTIVE_SHARE: f64 = 0.8;
+/// Number of batch intervals after its due time at which a timeout, if it is noticed only then, is
+/// attributed to a stall of this node.
+const NODE_STALL_BATCHES: f64 = 20.0;
 
-/// An attempt that is over.
+/// An attempt that has ended, with the figures that the estimates learn from.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndedAttempt {
     pub endpoint: EndpointId,
     pub class: usize,
     pub outcome: AttemptOutcome,
+    /// Whether the endpoint was congested when the attempt was sent.
     pub is_trial: bool,
-    /// It was answered within the objective.
-    pub in_objective: bool,
+    /// Whether the attempt was answered within the request's latency objective.
+    pub is_within_objective: bool,
+    /// Time from sending the attempt to its end, in milliseconds.
     pub elapsed_ms: f64,
+    /// Time from sending the attempt to its timeout, in milliseconds.
     pub timeout_ms: f64,
-    /// Time until the client's deadline when it was sent, in milliseconds.
-    pub allowed_ms: f64,
-    /// Value of an answer to its request.
+    /// Time from sending the attempt to the client's deadline, in milliseconds.
+    pub time_to_deadline_ms: f64,
+    /// Value of an answer to the request, in units of the class's priority weight.
     pub weight: f64,
 }
 
 impl Balancer {
-    /// Takes in the end of an attempt, if its endpoint is still known.
+    /// Updates the estimates after the end of an attempt. Does nothing if the endpoint is no longer known.
     pub(super) fn learn_from_attempt(
         &mut self,
         now_ms: f64,
@@ -55,22 +60,23 @@
         let endpoint = &mut self.endpoints[index];
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         endpoint.busy_ms += ended.elapsed_ms;
-        self.close_idle_if_scarce(now_ms, index, ended, actions);
+        self.close_idle_connections_if_scarce(now_ms, index, ended, actions);
         self.learn_utilization(now_ms, index, ended, load);
         if ended.is_trial {
             self.end_trial(now_ms, index, ended, actions);
-        } else if !self.is_own_stall(ended) {
+        } else if !self.is_node_stall(ended) {
             self.learn_from_outcome(now_ms, index, ended, actions);
         }
     }
 
-    /// A timeout that was noticed long after it was due is this node's own stall.
-    fn is_own_stall(&self, ended: &EndedAttempt) -> bool {
-        ended.elapsed_ms > ended.timeout_ms + OWN_STALL_BATCHES * self.settings.batch_interval_ms
+    /// Returns whether a timeout was noticed long after it was due, which means that this node stalled.
+    fn is_node_stall(&self, ended: &EndedAttempt) -> bool {
+        ended.elapsed_ms > ended.timeout_ms + NODE_STALL_BATCHES * self.settings.batch_interval_ms
     }
 
-    /// Closes idle connections where connections are scarce.
-    fn close_idle_if_scarce(
+    /// Records whether the attempt found a connection, and closes idle connections while connections are
+    /// scarce.
+    fn close_idle_connections_if_scarce(
         &mut self,
         now_ms: f64,
         index: usize,
@@ -80,8 +86,8 @@
         if ended.outcome == AttemptOutcome::NotSent {
             return;
         }
-        let hold_ms = self.settings.idle_connection_timeout_ms;
-        if self.connections.record(now_ms, ended.outcome, hold_ms) {
+        let idle_timeout_ms = self.settings.idle_connection_timeout_ms;
+        if self.connections.record(now_ms, ended.outcome, idle_timeout_ms) {
             actions.push(Action::Log(DecisionLog::ConnectionsScarce));
             let idle = self.endpoints.iter().filter(|endpoint| endpoint.in_flight == 0);
             actions.extend(idle.map(|endpoint| Action::CloseIdleConnections(endpoint.id)));
@@ -92,16 +98,18 @@
         }
     }
 
+    /// Records the utilization that the endpoint reported or that a failure stands for.
     fn learn_utilization(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt, load: &LoadReport) {
         let objective_ms = self.settings.latency_objective_ms(ended.class);
-        if let Some(observed) = self.utilization.observed_utilization(ended.outcome, load, objective_ms) {
+        if let Some(utilization) = self.utilization.observed_utilization(ended.outcome, load, objective_ms)
+        {
             let endpoint = &mut self.endpoints[index];
-            self.utilization.record(now_ms, &mut endpoint.utilization, observed);
+            self.utilization.record(now_ms, &mut endpoint.utilization, utilization);
         }
     }
 
-    /// A trial is over. Any answer at all shows that the endpoint can be reached; a trial that the node
-    /// cancelled or did not send says nothing.
+    /// Handles the end of a trial. An answer of any kind shows that the endpoint can be reached; a trial
+    /// that the node cancelled or did not send says nothing.
     fn end_trial(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt, actions: &mut Vec<Action>) {
         if ended.outcome.was_ended_by_node() {
             self.endpoints[index].failures.trial_abandoned();
@@ -116,8 +124,8 @@
             return;
         }
         let recovery = endpoint.failures.trial_answered();
-        // Where nobody was there it may have restarted, and discovery is late to say so. One that was only
-        // slow, or lost a connection, is as warm as before.
+        // An endpoint that could not be reached may have restarted, and discovery reports a restart late.
+        // An endpoint that was only slow, or lost a connection, is as warm as before.
         if recovery.was_unreachable {
             endpoint.begin_slow_start(now_ms, &mut self.rng);
         }
@@ -128,7 +136,7 @@
         }));
     }
 
-    /// What an attempt that was no trial says of its endpoint, its class and the fleet.
+    /// Learns from an attempt that was not a trial.
     fn learn_from_outcome(
         &mut self,
         now_ms: f64,
@@ -138,35 +146,37 @@
     ) {
         let has_short_deadline = self.has_short_deadline(ended);
         self.learn_answer_time(ended, has_short_deadline);
-        if ended.in_objective {
+        if ended.is_within_objective {
             self.endpoints[index].served_per_second += 1.0;
         }
-        // An attempt that the node ended, or a malformed response, says nothing of load.
+        // An attempt that the node ended, or a malformed response, says nothing about load.
         if ended.outcome.was_ended_by_node() || ended.outcome == AttemptOutcome::ErrorResponse {
             return;
         }
         if self.record_class_outcome(now_ms, index, ended) {
             return;
         }
-        // A timeout at a short client deadline says nothing about the endpoint; a silent endpoint shows by
-        // the clients that wait longer. Does not detect a silent endpoint in a fleet in which no client
+        // A timeout at a short client deadline says nothing about the endpoint; an endpoint that does not
+        // answer is detected through clients that wait longer. It is not detected if no client in the fleet
         // waits longer.
         if has_short_deadline && ended.outcome == AttemptOutcome::TimedOut {
             return;
         }
-        let overload = self.overload_of(ended);
+        let overload = self.observed_overload(ended);
         self.learn_overload(now_ms, index, ended, overload);
         self.learn_failure(now_ms, index, ended, actions);
     }
 
+    /// Returns whether the client allowed so little time that a timeout says nothing about the endpoint.
     fn has_short_deadline(&self, ended: &EndedAttempt) -> bool {
         let objective_ms = self.settings.latency_objective_ms(ended.class);
         let statistics = self.classes.get(ended.class);
-        statistics.is_some_and(|class| class.is_short_deadline(ended.allowed_ms, objective_ms))
+        statistics.is_some_and(|class| class.is_short_deadline(ended.time_to_deadline_ms, objective_ms))
     }
 
-    /// Timeouts count as answers that took at least so long: without them the short timeout n, which is
-    /// estimated from these times, would become ever shorter.
+    /// Records the answer time in the statistics of the class. Timeouts count as answers that took at least
+    /// as long: without them the short timeout n, which is estimated from these times, would become shorter
+    /// and shorter.
     fn learn_answer_time(&mut self, ended: &EndedAttempt, has_short_deadline: bool) {
         if let Some(class) = self.classes.get_mut(ended.class)
             && ended.outcome.bounds_answer_time()
@@ -176,37 +186,39 @@
         }
     }
 
-    /// Records whether the class was served at the endpoint. True if this is a failure that the class has
-    /// there while others are served, which says nothing of the endpoint.
+    /// Records whether the endpoint served the class. Returns `true` if the class fails there while other
+    /// classes are served; the failure then says nothing about the endpoint.
     fn record_class_outcome(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt) -> bool {
         if ended.outcome.is_connection_failure() {
             return false;
         }
         let Some(class) = self.classes.get_mut(ended.class) else { return false };
-        let failed = f64::from(u8::from(!ended.in_objective));
-        class.record_attempt(failed);
+        let failure = f64::from(u8::from(!ended.is_within_objective));
+        class.record_attempt(failure);
         let failures = &mut self.endpoints[index].class_failures;
-        failures.record(now_ms, ended.class, failed);
-        !ended.in_objective && failures.is_isolated_outlier(now_ms, ended.class, &self.classes)
+        failures.record(now_ms, ended.class, failure);
+        !ended.is_within_objective && failures.is_isolated_outlier(now_ms, ended.class, &self.classes)
     }
 
-    /// How overloaded an outcome shows the endpoint, 0 to 1.
+    /// Returns the degree of overload, 0 to 1, that an outcome shows at the endpoint.
     ///
-    /// Strain starts half-way, as ratios go, from the class's usual time to its objective: holding more in
-    /// flight than that serves nobody sooner, long before the objective itself is missed.
-    fn overload_of(&self, ended: &EndedAttempt) -> f64 {
-        if !ended.in_objective {
+    /// It rises from 0 at the geometric mean of the class's baseline answer time and its latency objective,
+    /// to 1 at the objective. More requests in flight than that serve nobody sooner, long before the
+    /// objective itself is missed.
+    fn observed_overload(&self, ended: &EndedAttempt) -> f64 {
+        if !ended.is_within_objective {
             return 1.0;
         }
         let objective_ms = self.settings.latency_objective_ms(ended.class);
-        let quiet_ms = self.classes.get(ended.class).map_or(0.0, |class| class.baseline_quantile_ms());
-        let usual_ms = quiet_ms.min(MAX_USUAL_PART * objective_ms);
-        let strained_ms = (usual_ms * objective_ms).sqrt();
-        ((ended.elapsed_ms - strained_ms) / (objective_ms - strained_ms)).clamp(0.0, 1.0)
+        let class_baseline_ms =
+            self.classes.get(ended.class).map_or(0.0, |class| class.baseline_quantile_ms());
+        let baseline_ms = class_baseline_ms.min(MAX_BASELINE_OBJECTIVE_SHARE * objective_ms);
+        let overload_onset_ms = (baseline_ms * objective_ms).sqrt();
+        ((ended.elapsed_ms - overload_onset_ms) / (objective_ms - overload_onset_ms)).clamp(0.0, 1.0)
     }
 
-    /// Has admission and the endpoint's concurrency limit learn. Limits tell endpoints apart: what the
-    /// whole fleet suffers is left to admission.
+    /// Updates admission and the endpoint's concurrency limit. Concurrency limits reflect differences
+    /// between endpoints: overload of the whole fleet is left to admission.
     fn learn_overload(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt, overload: f64) {
         let endpoint = &mut self.endpoints[index];
         if !ended.outcome.concerns_endpoint_alone() && !endpoint.failures.is_congested() {
@@ -216,19 +228,19 @@
             return;
         }
         let fleet_overload = self.admission.overload();
-        let fleet_strain = (UNUSED_CUT_SLOPE * fleet_overload / TARGET_OVERLOAD).min(1.0);
+        let cut_factor = (UNUSED_CUT_SLOPE * fleet_overload / TARGET_OVERLOAD).min(1.0);
         endpoint.limit.learn(LoadSample {
             now_ms,
             elapsed_ms: ended.elapsed_ms,
             in_flight: endpoint.in_flight,
             overload: overload * (1.0 - fleet_overload),
-            unused_cut_share: MAX_UNUSED_CUT_SHARE * overload * fleet_strain,
+            unused_cut_share: MAX_UNUSED_CUT_SHARE * overload * cut_factor,
             floor: limit_floor(ended.outcome == AttemptOutcome::Rejected, self.settings.node_count),
         });
     }
 
-    /// Counts the outcome in the endpoint's failure record, and makes the endpoint congested where that is
-    /// due.
+    /// Records the outcome in the endpoint's failure record, and makes the endpoint congested if there are
+    /// too many failures.
     fn learn_failure(
         &mut self,
         now_ms: f64,
@@ -238,13 +250,13 @@
     ) {
         let failed = ended.outcome.is_failure();
         let failure = f64::from(u8::from(failed));
-        self.fleet_failure_share += FLEET_FAILURE_STEP * (failure - self.fleet_failure_share);
+        self.fleet_failure_share += FLEET_FAILURE_SHARE_STEP * (failure - self.fleet_failure_share);
         let endpoint = &mut self.endpoints[index];
         if failed || ended.outcome == AttemptOutcome::Answered {
             endpoint.failures.record(now_ms, self.tuning.failure_window_ms, failed);
         }
-        let sparse = self.tuning.sees_sparse_traffic;
-        if !failed || !endpoint.failures.should_trip(self.fleet_failure_share, sparse) {
+        let sees_sparse_traffic = self.tuning.sees_sparse_traffic;
+        if !failed || !endpoint.failures.should_trip(self.fleet_failure_share, sees_sparse_traffic) {
             return;
         }
         let pause_ms = self.tuning.trial_pause_ms(0, &mut self.rng);
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -253,7 +253,7 @@
     ) {
         let Some(ended) = self.close_attempt(now_ms, &end) else { return };
         self.learn_from_attempt(now_ms, &ended, load, actions);
-        if ended.in_objective
+        if ended.is_within_objective
             && let Some(class) = self.classes.get_mut(ended.class)
         {
             class.record_served();
@@ -278,10 +278,10 @@
             class: pending.request.class,
             outcome: end.outcome,
             is_trial: attempt.is_trial,
-            in_objective: is_answered && now_ms <= pending.objective_at_ms,
+            is_within_objective: is_answered && now_ms <= pending.objective_at_ms,
             elapsed_ms: elapsed_ms.max(0.0),
             timeout_ms: attempt.timeout_ms,
-            allowed_ms: pending.request.deadline_ms - attempt.sent_at_ms,
+            time_to_deadline_ms: pending.request.deadline_ms - attempt.sent_at_ms,
             weight: pending.weight,
         })
     }
