--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,119 +1,129 @@
-//! How many requests this node may have in flight at one endpoint, learned from outcomes.
+//! Limits how many requests this node may have in flight at one endpoint, and learns the limit from
+//! outcomes.
 //!
-//! The capacity of an endpoint is not announced, and the share that other nodes use changes. So each answer
-//! without overload raises the limit a little and each with overload lowers it, until overload settles at
-//! [`TARGET_OVERLOAD`]. Below 1 the limit is a duty cycle: one request at a time, with pauses between.
+//! An endpoint does not announce its capacity, and the share of it that other nodes use changes. Each
+//! answer without overload therefore raises the limit a little, and each answer with overload lowers it,
+//! until overload settles at [`TARGET_OVERLOAD`]. A limit below 1 is a duty cycle: one request at a time,
+//! with a pause after each.
 
-/// Share of overload that the learned limits and admission settle at.
+/// The degree of overload, 0 to 1, at which concurrency limits and the admission level are stable.
 pub(super) const TARGET_OVERLOAD: f64 = 0.2;
-/// Growth of the limit for an answer without overload.
-const STEP: f64 = 0.1;
-/// Growth is faster by this factor until overload first shows.
+/// Growth of the limit for one answer without overload, in requests in flight.
+const GROWTH_STEP: f64 = 0.1;
+/// Factor by which the limit grows faster until overload first shows.
 const INITIAL_GROWTH_FACTOR: f64 = 5.0;
-/// Lower bound of the limit, in requests in flight over all nodes: at an endpoint that rejects ...
-const FLOOR_WHEN_REJECTING: f64 = 2.0;
-/// ... and at one that is late. With so few in flight, lateness is a fault and not a full queue. Does not
-/// fit endpoints for which two requests at once are too many.
-const FLOOR_WHEN_LATE: f64 = 0.5;
+/// Lower bound of the limit at an endpoint that rejects requests, in requests in flight summed over all
+/// nodes. It does not fit endpoints that two concurrent requests already overload.
+const MIN_LIMIT_WHEN_REJECTING: f64 = 2.0;
+/// Lower bound of the limit at an endpoint that answers late, in requests in flight summed over all nodes.
+/// With so few requests in flight, late answers are caused by a fault and not by a full queue. It does not
+/// fit endpoints that two concurrent requests already overload.
+const MIN_LIMIT_WHEN_LATE: f64 = 0.5;
 
-/// The limit for an endpoint of which nothing is known, in requests in flight.
+/// Returns the initial limit for an endpoint about which nothing is known, in requests in flight.
 ///
-/// Two, but at least eight over all nodes; with many nodes each has its share of 32, so that together they
-/// do not flood an endpoint before any of them has learned.
+/// It is 2, or more if the nodes together would have fewer than 8. With more than 16 nodes each node has
+/// its share of 32, but at least 0.4, so that the nodes together do not flood an endpoint before any of
+/// them has learned its limit.
 pub(super) fn initial_limit(node_count: u32) -> f64 {
     let nodes = f64::from(node_count.max(1));
     (32.0 / nodes).clamp(0.4, 2.0).max(8.0 / nodes)
 }
 
-/// The learned limit of one endpoint.
+/// The learned limit of one endpoint, and the pause that a limit below 1 requires.
 #[derive(Debug, Default)]
 pub(super) struct ConcurrencyLimit {
     limit: f64,
-    /// When the cuts last added up to the limit itself; outcomes of attempts sent before then are ignored.
-    /// None before the first cut.
-    fully_cut_at_ms: Option<f64>,
-    /// What cuts have taken since then.
-    cut_since: f64,
-    /// With a limit below 1, when the next request may be sent.
+    /// When the cuts since the previous such time last added up to the limit itself, or the time of the
+    /// first cut, in milliseconds on the balancer's clock. Overload of attempts sent before then is
+    /// ignored, because the limit already reflects it. `None` before the first cut.
+    last_full_cut_at_ms: Option<f64>,
+    /// Sum of the cuts since `last_full_cut_at_ms`, in requests in flight.
+    accumulated_cuts: f64,
+    /// When the next request may be sent, in milliseconds on the balancer's clock. `None` if the limit has
+    /// never been below 1.
     paused_until_ms: Option<f64>,
 }
 
-/// What one outcome says of an endpoint's load.
+/// One outcome, as evidence of an endpoint's load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadSample {
     pub now_ms: f64,
-    /// How long the attempt was in flight, in milliseconds.
+    /// Time from sending the attempt to its end, in milliseconds.
     pub elapsed_ms: f64,
-    /// Requests still in flight at the endpoint.
+    /// Requests of this node that are still in flight at the endpoint.
     pub in_flight: u32,
-    /// 0 for well within the objective to 1 for late.
+    /// Degree of overload: 0 if the answer was well within the objective, 1 if it was late.
     pub overload: f64,
-    /// Part of the unused limit that is cut.
+    /// Share of the unused part of the limit that is cut, 0 to 1.
     pub unused_cut_share: f64,
-    /// The limit is not cut below this.
-    pub floor: f64,
+    /// Lower bound of the limit for this node, in requests in flight; a limit that is already lower is not
+    /// raised.
+    pub min_limit: f64,
 }
 
 impl ConcurrencyLimit {
-    /// A limit that nothing has been learned for.
+    /// Creates a limit for an endpoint about which nothing has been learned.
     pub fn new(limit: f64) -> ConcurrencyLimit {
         ConcurrencyLimit { limit, ..ConcurrencyLimit::default() }
     }
 
-    /// The limit, in requests in flight.
+    /// The limit, in requests in flight; may be below 1.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Whether one more request may not be sent.
+    /// Returns whether the limit forbids one more request.
     pub fn blocks(&self, now_ms: f64, in_flight: u32) -> bool {
         f64::from(in_flight) + 1.0 > self.limit.max(1.0)
-            || self.paused_until_ms.is_some_and(|until| now_ms < until)
+            || self.paused_until_ms.is_some_and(|until_ms| now_ms < until_ms)
     }
 
-    /// Takes over the limit that the previous process had learned, if it is lower: that process may still
-    /// fill a larger one, and what is left is soon learned.
-    pub fn restore(&mut self, now_ms: f64, learned: f64) {
-        if learned > 0.0 && learned < self.limit {
-            self.limit = learned;
-            self.fully_cut_at_ms = Some(now_ms);
+    /// Takes over the limit that the previous process of this node had learned, if it is lower. A larger
+    /// one is not taken over: the previous process may still have that many requests in flight, and this
+    /// process soon learns the remaining capacity.
+    pub fn restore(&mut self, now_ms: f64, learned_limit: f64) {
+        if learned_limit > 0.0 && learned_limit < self.limit {
+            self.limit = learned_limit;
+            self.last_full_cut_at_ms = Some(now_ms);
         }
     }
 
-    /// Learns from one outcome.
+    /// Raises or cuts the limit after one outcome.
     pub fn learn(&mut self, sample: LoadSample) {
-        // A small limit moves in proportion, and overload takes away as much as its absence adds at the
-        // target.
-        let step = STEP * self.limit.min(1.0) * (1.0 - sample.overload / TARGET_OVERLOAD);
+        // A small limit changes in proportion to itself. At the target overload the step is zero.
+        let step = GROWTH_STEP * self.limit.min(1.0) * (1.0 - sample.overload / TARGET_OVERLOAD);
         let sent_at_ms = sample.now_ms - sample.elapsed_ms;
-        let is_news = self.fully_cut_at_ms.is_none_or(|cut_at| sent_at_ms >= cut_at);
-        if step < 0.0 && is_news {
+        let was_sent_after_full_cut =
+            self.last_full_cut_at_ms.is_none_or(|cut_at_ms| sent_at_ms >= cut_at_ms);
+        if step < 0.0 && was_sent_after_full_cut {
             self.cut(step, &sample);
         } else if step > 0.0 && f64::from(sample.in_flight) + 1.0 >= self.limit / 2.0 {
-            let growing_first = self.fully_cut_at_ms.is_none();
-            self.limit += if growing_first { step * INITIAL_GROWTH_FACTOR } else { step };
+            let is_initial_growth = self.last_full_cut_at_ms.is_none();
+            self.limit += if is_initial_growth { step * INITIAL_GROWTH_FACTOR } else { step };
         }
         if self.limit < 1.0 {
             self.paused_until_ms = Some(sample.now_ms + sample.elapsed_ms * (1.0 / self.limit - 1.0));
         }
     }
 
-    /// Cuts the limit by a step, and by part of what was unused when overload showed: that part was never
-    /// available.
+    /// Cuts the limit by a step, and by a share of the part that was unused when overload showed: that part
+    /// was never available.
     fn cut(&mut self, step: f64, sample: &LoadSample) {
         let unused = (self.limit - f64::from(sample.in_flight) - 1.0).max(0.0);
         self.limit =
-            (self.limit + step - sample.unused_cut_share * unused).max(sample.floor.min(self.limit));
-        self.cut_since -= step;
-        if self.cut_since > self.limit || self.fully_cut_at_ms.is_none() {
-            self.fully_cut_at_ms = Some(sample.now_ms);
-            self.cut_since = 0.0;
+            (self.limit + step - sample.unused_cut_share * unused).max(sample.min_limit.min(self.limit));
+        self.accumulated_cuts -= step;
+        if self.accumulated_cuts > self.limit || self.last_full_cut_at_ms.is_none() {
+            self.last_full_cut_at_ms = Some(sample.now_ms);
+            self.accumulated_cuts = 0.0;
         }
     }
 }
 
-/// The least limit of one node at an endpoint that rejected a request (`rejected`) or was late.
-pub(super) fn limit_floor(rejected: bool, node_count: u32) -> f64 {
-    let over_all_nodes = if rejected { FLOOR_WHEN_REJECTING } else { FLOOR_WHEN_LATE };
-    over_all_nodes / f64::from(node_count.max(1))
+/// Returns the lower bound of one node's limit at an endpoint: the bound for rejections if `is_rejection`
+/// is set, otherwise the bound for late answers.
+pub(super) fn min_limit(is_rejection: bool, node_count: u32) -> f64 {
+    let limit_over_all_nodes = if is_rejection { MIN_LIMIT_WHEN_REJECTING } else { MIN_LIMIT_WHEN_LATE };
+    limit_over_all_nodes / f64::from(node_count.max(1))
 }
--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -6,7 +6,7 @@
 
 use super::action::Action;
 use super::balancer::Balancer;
-use super::concurrency_limit::{LoadSample, TARGET_OVERLOAD, limit_floor};
+use super::concurrency_limit::{LoadSample, TARGET_OVERLOAD, min_limit};
 use super::decision_log::DecisionLog;
 use super::endpoint::EndpointId;
 use super::event::AttemptOutcome;
@@ -235,7 +235,7 @@
             in_flight: endpoint.in_flight,
             overload: overload * (1.0 - fleet_overload),
             unused_cut_share: MAX_UNUSED_CUT_SHARE * overload * cut_factor,
-            floor: limit_floor(ended.outcome == AttemptOutcome::Rejected, self.settings.node_count),
+            min_limit: min_limit(ended.outcome == AttemptOutcome::Rejected, self.settings.node_count),
         });
     }
 
