--- a/src/policy/key_frequency.rs
+++ b/src/policy/key_frequency.rs
@@ -1,59 +1,65 @@
-//! Which keys are hot: a sketch of how often each key is requested at this node.
+//! Estimates what share of this node's requests is for each key, to detect hot keys.
 //!
-//! A key's requests go to two candidates. One with a large part of the traffic overloads both, so its share
-//! has to be known. Counting every key would take memory without bound; a count-min sketch of two rows
-//! holds the counts within a constant one, and fades.
-
-/// Counters in a row.
-const SLOTS: usize = 2048;
-/// Counts fade to a third in this time, in milliseconds: long enough for a node with few requests a second
-/// to meet a hot key again.
-const MEMORY_MS: f64 = 15_000.0;
-/// A share is taken of at least this many requests: it cannot be estimated from fewer.
-const MIN_EVIDENCE: f64 = 20.0;
-
-/// What a node with sparse traffic takes the share of any key for, in requests of `MIN_EVIDENCE`: most
-/// requests are for popular keys.
-pub(super) const SPARSE_TRAFFIC_GUESS: f64 = 0.8;
-
-/// Decaying counts of keys.
+//! The requests for a key go to two candidate endpoints. A key with a large share of the traffic overloads
+//! both, so the share has to be known. Exact counts of all keys would take unbounded memory; a count-min
+//! sketch of two rows takes constant memory, and its counts decay exponentially.
+
+/// Number of counters in a row.
+const COUNTERS_PER_ROW: usize = 2048;
+/// Time constant of the exponential decay of the counts, in milliseconds. It is long enough for a node with
+/// few requests per second to receive a hot key again.
+const COUNT_TIME_CONSTANT_MS: f64 = 15_000.0;
+/// Lower bound of the number of requests that a share is taken of: a share cannot be estimated from fewer.
+const MIN_REQUESTS: f64 = 20.0;
+
+/// Prior for the share of any key at a node with sparse traffic, in requests. While the node has counted
+/// [`MIN_REQUESTS`] requests or fewer, it corresponds to a share of this number divided by `MIN_REQUESTS`.
+/// It is above 0 because most requests are for popular keys.
+pub(super) const SPARSE_TRAFFIC_PRIOR_REQUESTS: f64 = 0.8;
+
+/// A count-min sketch of the requests for each key, with decaying counts.
 #[derive(Debug)]
 pub(super) struct KeyFrequencySketch {
     rows: [Vec<f32>; 2],
-    total: f64,
+    /// Decaying count of requests for all keys.
+    total_requests: f64,
 }
 
 impl KeyFrequencySketch {
-    /// A sketch that has counted nothing.
+    /// Creates a sketch that has counted no requests.
     pub fn new() -> KeyFrequencySketch {
-        KeyFrequencySketch { rows: [vec![0.0; SLOTS], vec![0.0; SLOTS]], total: 0.0 }
+        KeyFrequencySketch {
+            rows: [vec![0.0; COUNTERS_PER_ROW], vec![0.0; COUNTERS_PER_ROW]],
+            total_requests: 0.0,
+        }
     }
 
-    /// The counter of a mixed key in each row.
-    fn slots(key: u64) -> [usize; 2] {
-        [key as usize % SLOTS, (key >> 32) as usize % SLOTS]
+    /// Returns the index of the key's counter in each row. `hashed_key` is the output of
+    /// [`mix`](super::hash::mix).
+    fn counter_indices(hashed_key: u64) -> [usize; 2] {
+        [hashed_key as usize % COUNTERS_PER_ROW, (hashed_key >> 32) as usize % COUNTERS_PER_ROW]
     }
 
-    /// Counts one request for a mixed key.
-    pub fn record(&mut self, key: u64) {
-        for (row, slot) in self.rows.iter_mut().zip(KeyFrequencySketch::slots(key)) {
-            row[slot] += 1.0;
+    /// Counts one request for a key.
+    pub fn record(&mut self, hashed_key: u64) {
+        for (row, index) in self.rows.iter_mut().zip(KeyFrequencySketch::counter_indices(hashed_key)) {
+            row[index] += 1.0;
         }
-        self.total += 1.0;
+        self.total_requests += 1.0;
     }
 
-    /// Lets counts fade by the time that has passed.
+    /// Decays the counts exponentially over `seconds`.
     pub fn decay(&mut self, seconds: f64) {
-        let keep = (-seconds * 1000.0 / MEMORY_MS).exp();
-        self.rows.iter_mut().flatten().for_each(|count| *count *= keep as f32);
-        self.total *= keep;
+        let retained = (-seconds * 1000.0 / COUNT_TIME_CONSTANT_MS).exp();
+        self.rows.iter_mut().flatten().for_each(|count| *count *= retained as f32);
+        self.total_requests *= retained;
     }
 
-    /// Part of the traffic that is for a mixed key, 0 to 1. One request says nothing beyond the `guess`,
-    /// which is in requests.
-    pub fn share(&self, key: u64, guess: f64) -> f64 {
-        let [first, second] = KeyFrequencySketch::slots(key);
+    /// Returns the estimated share of the traffic that is for a key, 0 to 1. The first request counted for
+    /// a key is no evidence that the key is hot; `prior_requests` is added in its place.
+    pub fn share(&self, hashed_key: u64, prior_requests: f64) -> f64 {
+        let [first, second] = KeyFrequencySketch::counter_indices(hashed_key);
         let count = self.rows[0][first].min(self.rows[1][second]);
-        (f64::from(count - 1.0).max(0.0) + guess) / self.total.max(MIN_EVIDENCE)
+        (f64::from(count - 1.0).max(0.0) + prior_requests) / self.total_requests.max(MIN_REQUESTS)
     }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -9,7 +9,7 @@
 use super::class_statistics::ClassStatistics;
 use super::endpoint_set::{Endpoint, EndpointSet};
 use super::hash::mix;
-use super::key_frequency::{KeyFrequencySketch, SPARSE_TRAFFIC_GUESS};
+use super::key_frequency::{KeyFrequencySketch, SPARSE_TRAFFIC_PRIOR_REQUESTS};
 use super::send_gate::SendGate;
 
 /// Utilization up to which the first candidate keeps its keys, however idle the second.
@@ -81,7 +81,7 @@
         let key = self.gate.request.request.key.map_or_else(|| rng.u64(..), mix);
         let endpoints = self.endpoints.placement().len();
         let idleness = (1.0 - 2.0 * f64::from(self.in_flight) / endpoints.max(1) as f64).max(0.0);
-        let guess = if self.sees_sparse_traffic { SPARSE_TRAFFIC_GUESS } else { 0.0 };
+        let guess = if self.sees_sparse_traffic { SPARSE_TRAFFIC_PRIOR_REQUESTS } else { 0.0 };
         let share = self.keys.share(key, guess);
         let parts = 1.0 + idleness * PARTS_OF_HOT_KEY * share * endpoints as f64;
         if parts < MIN_PARTS { key } else { mix(key ^ rng.u64(..parts as u64)) }
