--- a/src/node/observability/invariants.rs
+++ b/src/node/observability/invariants.rs
@@ -124,7 +124,7 @@
     /// The rule that it would break.
     pub fn may_reject(&self, request: &RequestFacts<'_>) -> Result<(), Violation> {
         let may_have_run = request.attempts.iter().any(|attempt| !attempt.never_ran());
-        let is_harmless = self.idempotency(request.class).is_harmless_anywhere();
+        let is_harmless = self.idempotency(request.class).allows_client_retry();
         if may_have_run && !is_harmless { Err(Violation::RejectionAfterExecution) } else { Ok(()) }
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -303,9 +303,9 @@
             let class_value = (statistics.recent_first_tries() * class.priority_weight).max(MIN_DIVISOR);
             let share_above_lowest = statistics.served_share() - lowest_served_share;
             let worst_class_share = (1.0 - share_above_lowest / WORST_CLASS_MARGIN).max(0.0);
-            let objective_gain = (weights.whole + weights.worst_window) / total_value.max(MIN_DIVISOR)
+            let objective_gain = (weights.entire_run + weights.worst_window) / total_value.max(MIN_DIVISOR)
                 + weights.worst_class * worst_class_share / class_value;
-            let work = if settings.weigh_by_work { 1.0 } else { statistics.mean_ms() };
+            let work = if settings.value_scales_with_work { 1.0 } else { statistics.mean_ms() };
             for freshness in Freshness::ALL {
                 let freshness_factor = match freshness {
                     Freshness::InTime => 1.0,
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -63,7 +63,7 @@
     /// # Errors
     /// Settings that no balancer can run on: no class, or a figure outside its range.
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let tuning = Tuning::new(&settings);
         Ok(Balancer {
             tuning,
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -207,14 +207,14 @@
         let is_open = |pending: &&PendingRequest| !pending.finished && !pending.has_attempt_in_flight();
         let Some(pending) = self.requests.get(&id).filter(is_open) else { return };
         let idempotency = self.settings.idempotency(pending.request.class);
-        let is_harmless = pending.never_ran() || idempotency.is_harmless_anywhere();
+        let is_harmless = pending.never_ran() || idempotency.allows_client_retry();
         let objective_ms = (pending.objective_at_ms - pending.arrived_at_ms).max(MIN_OBJECTIVE_MS);
         self.requests.remove(&id);
         if !is_harmless {
             actions.push(Action::Fail { id, reason });
             return;
         }
-        let retry_after_ms = if self.settings.retry_after {
+        let retry_after_ms = if self.settings.retry_after_allowed {
             let longest_ms = self.settings.max_retry_after_ms;
             retry_after_ms(now_ms, objective_ms, longest_ms, &self.endpoints, &mut self.rng)
         } else {
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -1,45 +1,49 @@
-//! What a node is configured with, and the check that a balancer can run on it.
+//! Defines the configuration of a node, and validates that a balancer can run with it.
 
 use super::endpoint::Location;
 use thiserror::Error;
 
-/// What a repeat of a request may do.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeating it does no harm.
+    /// Repeated execution does no harm.
     Idempotent,
-    /// It carries a key, by which the endpoints of a scope drop repeats for a while.
+    /// The request carries an idempotency key, by which the endpoints of a scope drop repeats within the
+    /// deduplication window.
     WithKey(DeduplicationScope),
-    /// It must never run twice.
+    /// The request must not be executed more than once.
     NotIdempotent,
 }
 
 impl Idempotency {
-    /// Whether the request may be sent again although an earlier attempt may have run, somewhere and for
-    /// some time.
+    /// Returns whether the node may send the request again although an earlier attempt may have been
+    /// executed. For a request with a key, this holds only for endpoints within the key's scope and within
+    /// the deduplication window; the caller must check both.
     pub(super) fn allows_repeats(self) -> bool {
         self != Idempotency::NotIdempotent
     }
 
-    /// Whether a client may try again elsewhere, at any time, although an attempt may have run.
-    pub fn is_harmless_anywhere(self) -> bool {
+    /// Returns whether a client may repeat the request elsewhere and at any time although an attempt may
+    /// have been executed.
+    pub fn allows_client_retry(self) -> bool {
         matches!(self, Idempotency::Idempotent | Idempotency::WithKey(DeduplicationScope::All))
     }
 }
 
-/// Which endpoints drop a repeat by its key together.
+/// The endpoints that share the idempotency keys they have received, and so drop repeats of each other's
+/// requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every endpoint.
+    /// All endpoints.
     All,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Those of one cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
 impl DeduplicationScope {
-    /// Whether an endpoint at `second` drops a repeat of what ran at `first`.
+    /// Returns whether an endpoint at `second` drops the repeat of a request that was executed at `first`.
     pub fn covers(self, first: Location, second: Location) -> bool {
         match self {
             DeduplicationScope::All => true,
@@ -49,239 +53,252 @@
     }
 }
 
-/// How the endpoint list arrives.
+/// How the node obtains the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes are pushed by an agent nearby.
+    /// An agent near the node pushes changes.
     Push,
-    /// One service for all nodes is polled, after [`Action::SetWatch`](super::Action::SetWatch).
+    /// The node polls one service, which all nodes share. A poll follows
+    /// [`Action::SetWatch`](super::Action::SetWatch).
     Poll,
 }
 
-/// A class of requests.
+/// A class of requests: its objective, its value, and its rules for repeats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Answers within this time earn the full weight, in milliseconds.
+    /// Time within which an answer earns the full value, in milliseconds from the client's first try.
     pub latency_objective_ms: f64,
-    /// The longest that a client waits, over all its tries, in milliseconds.
+    /// Longest time that a client waits over all its tries, in milliseconds.
     pub deadline_ms: f64,
-    /// Value of one request.
+    /// Value of one answer within the objective, relative to other classes; at least 0.
     pub priority_weight: f64,
-    /// Part of that value which an answer after the objective keeps, 0 to 1.
+    /// Share of the value that an answer after the objective still earns, 0 to 1.
     pub late_weight_factor: f64,
-    /// What a repeat may do.
+    /// Whether requests of the class may be executed more than once.
     pub idempotency: Idempotency,
-    /// How long a repeat with the same key is dropped, in milliseconds from the first attempt that may have
-    /// run.
+    /// Time for which endpoints drop repeats with the same idempotency key, in milliseconds from the first
+    /// attempt that may have been executed.
     pub deduplication_window_ms: f64,
-    /// The objective is longer by this multiple of the request's own work, up to the deadline; 0 for none.
+    /// Multiple of a request's own work by which its objective is extended, up to the deadline; 0 for no
+    /// extension.
     pub objective_stretch: f64,
 }
 
-/// Weights of the parts of the operators' service objective.
+/// Weights of the components of the operators' service objective.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ObjectiveWeights {
-    /// The value served over the entire run.
-    pub whole: f64,
-    /// The worst stretch of ten seconds.
+    /// Weight of the value served over the entire run.
+    pub entire_run: f64,
+    /// Weight of the value served in the worst window of ten seconds.
     pub worst_window: f64,
-    /// The worst-served class.
+    /// Weight of the value served to the worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant.
+    /// Weight of the value served to the worst-served tenant.
     pub worst_tenant: f64,
-    /// The nines: how small the part not served in time is, on a logarithmic scale.
+    /// Weight of the nines: the share that was not served in time, on a logarithmic scale.
     pub nines: f64,
-    /// Nines that count in full.
+    /// Number of nines at which that component is earned in full.
     pub full_at_nines: f64,
 }
 
-/// Points that the operators take off, for each unit named.
+/// Deductions from the service objective, in points per unit named at each field.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Costs {
-    /// An attempt that crosses zones, per first try.
+    /// Points per attempt that crosses zones, as a ratio to the number of first tries.
     pub cross_zone: f64,
-    /// A new connection, per first try.
+    /// Points per new connection, as a ratio to the number of first tries.
     pub handshake: f64,
-    /// Open connections.
+    /// Points per open connection.
     pub connection: f64,
-    /// Value that ended unserved after its objective.
-    pub late_fail: f64,
-    /// Work of endpoints that gave no answer, per work offered.
-    pub waste: f64,
-    /// A probe, per first try.
+    /// Points per unit of value that ended unserved after its latency objective.
+    pub late_failure: f64,
+    /// Points per unit of work that endpoints did without giving an answer, as a ratio to the offered work.
+    pub wasted_work: f64,
+    /// Points per probe, as a ratio to the number of first tries.
     pub probe: f64,
-    /// A full peer message (256 bytes), per first try.
-    pub peer: f64,
+    /// Points per full peer message of 256 bytes, as a ratio to the number of first tries.
+    pub peer_message: f64,
 }
 
-/// What the weight of an endpoint means.
+/// The meaning of an endpoint's weight in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightMeaning {
-    /// Nothing: it is always 1.
+    /// The weight has no meaning and is always 1.
     None,
     /// The registered capacity.
     Nominal,
-    /// Roughly the capacity.
+    /// A rough estimate of the capacity.
     Rough,
-    /// The capacity over 1 + requests in flight per core, some time ago.
+    /// The capacity divided by 1 plus the requests in flight per core, as of some time ago.
     Live,
 }
 
 /// How endpoints report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// Not at all.
+    /// Endpoints do not report their load.
     None,
-    /// In every answer, and in answers to probes.
+    /// In every answer, including answers to probes.
     Answers,
     /// Only in answers to probes.
     Probes,
 }
 
-/// What one node is configured with.
+/// The configuration of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Request classes; a request names one by its index.
+    /// Request classes; a request refers to its class by the index in this list. Must not be empty.
     pub classes: Vec<RequestClass>,
-    /// Weights of the service objective.
+    /// Weights of the components of the service objective.
     pub objective_weights: ObjectiveWeights,
-    /// What each thing costs.
+    /// Deductions from the service objective.
     pub costs: Costs,
-    /// How many nodes there are.
+    /// Number of nodes in the fleet; at least 1.
     pub node_count: u32,
-    /// This node's number among them, from 0.
+    /// Index of this node in the fleet, from 0.
     pub node_index: u32,
-    /// This node's zone, if it is known; comparable with
-    /// [`EndpointUpdate::zone`](super::EndpointUpdate::zone).
+    /// Zone of this node, comparable with [`EndpointUpdate::zone`](super::EndpointUpdate::zone). `None` if
+    /// it is unknown.
     pub zone: Option<u16>,
-    /// What [`EndpointUpdate::weight`](super::EndpointUpdate::weight) means.
+    /// Meaning of [`EndpointUpdate::weight`](super::EndpointUpdate::weight).
     pub weight_meaning: WeightMeaning,
-    /// How load is reported.
+    /// How endpoints report their load.
     pub load_reporting: LoadReporting,
-    /// How the endpoint list arrives.
+    /// How the node obtains the endpoint list.
     pub discovery: DiscoveryMode,
-    /// Attempts for one request at most.
+    /// Largest number of attempts for one request; at least 1.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether the node may cancel attempts.
     pub cancellation_allowed: bool,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging_allowed: bool,
-    /// Rejected clients are given a Retry-After.
-    pub retry_after: bool,
-    /// The longest Retry-After that a client honours, in milliseconds.
+    /// Whether rejections may carry a `Retry-After`.
+    pub retry_after_allowed: bool,
+    /// Longest `Retry-After` that clients honour, in milliseconds.
     pub max_retry_after_ms: f64,
-    /// Probes are allowed.
+    /// Whether the node may send probes.
     pub probes_allowed: bool,
-    /// Messages between nodes are allowed.
+    /// Whether nodes may send messages to each other.
     pub peer_messages_allowed: bool,
-    /// Requests that this node may hold open.
+    /// Largest number of requests that this node may hold open.
     pub max_open_requests: u32,
-    /// Attempts that one connection carries at once.
+    /// Largest number of concurrent attempts on one connection.
     pub max_streams: u32,
-    /// Endpoints close idle connections after this time, in milliseconds.
+    /// Time after which endpoints close an idle connection, in milliseconds.
     pub idle_connection_timeout_ms: f64,
-    /// A connection not made by then has failed, in milliseconds.
+    /// Time after which an attempt to connect counts as failed, in milliseconds.
     pub connect_timeout_ms: f64,
-    /// Processor time that this node may use, in microseconds a second; 0 where there is no limit.
+    /// Processor time that this node may use, in microseconds per second; 0 if there is no limit.
     pub cpu_us_per_second: f64,
-    /// Clients mark their retries: a request without the mark is a first try.
+    /// Whether clients mark their retries. If they do, a request without the mark is a first try.
     pub clients_mark_retries: bool,
-    /// Part of its value that a request keeps which is over quota: here, too old for its objective.
+    /// Factor applied to the value of a request that is over its quota. The balancer applies it to requests
+    /// that have already missed their objective when they arrive.
     pub over_quota_weight_factor: f64,
-    /// Value is counted by work rather than by request.
-    pub weigh_by_work: bool,
-    /// Endpoints that met a key lately need less work for it.
+    /// Whether the value of a request is proportional to its work. Otherwise all requests of a class have
+    /// the same value.
+    pub value_scales_with_work: bool,
+    /// Whether endpoints need less work for keys that they have received recently.
     pub warm_keys: bool,
-    /// A restarted endpoint has its full capacity after this time at the latest, in milliseconds.
+    /// Time after which a restarted endpoint has its full capacity at the latest, in milliseconds.
     pub slow_start_ms: f64,
-    /// It starts at this part of its capacity or above.
+    /// Lower bound of the share of its capacity that a restarted endpoint has at once, 0 to 1.
     pub slow_start_initial_capacity: f64,
-    /// It falls over when sent more than this multiple of its present capacity ...
+    /// Multiple of its present capacity beyond which the load makes a restarted endpoint fail, if it lasts
+    /// for [`overload_window_ms`](Settings::overload_window_ms).
     pub overload_multiple: f64,
-    /// ... for this time, in milliseconds.
+    /// Time for which a restarted endpoint must be loaded beyond
+    /// [`overload_multiple`](Settings::overload_multiple) to fail, in milliseconds.
     pub overload_window_ms: f64,
-    /// Sends to an endpoint must end within this time after it was reported as draining or removed, in
+    /// Time after which nothing may be sent to an endpoint that was reported as draining or removed, in
     /// milliseconds.
     pub drain_grace_ms: f64,
-    /// With polled discovery, the longest time between two polls, in milliseconds.
+    /// Longest time between two polls of discovery, in milliseconds; not used with pushed discovery.
     pub max_poll_interval_ms: f64,
-    /// The shortest time between two batches of events, in milliseconds.
+    /// Shortest time between two batches of events, in milliseconds.
     pub batch_interval_ms: f64,
 }
 
-/// A figure with its name in the settings' JSON and the least that it may be.
-struct Figure {
+/// The value of a numeric setting, with its key in the JSON form of the settings and its lower bound.
+struct NumericSetting {
     name: &'static str,
     value: f64,
-    least: f64,
+    min: f64,
 }
 
 impl Settings {
-    /// Checks that a balancer can run on them.
+    /// Validates that a balancer can run with these settings.
     ///
     /// # Errors
-    /// There is no class, or a figure is outside its range.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    /// Returns an error if there is no class, or if a number is not finite or below its lower bound.
+    pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClass);
         }
-        let out_of_range = |figure: &Figure| !figure.value.is_finite() || figure.value < figure.least;
-        match self.figures().into_iter().find(out_of_range) {
-            Some(Figure { name, value, .. }) => Err(SettingsError::Range { field: name, value }),
+        let out_of_range =
+            |setting: &NumericSetting| !setting.value.is_finite() || setting.value < setting.min;
+        match self.numeric_settings().into_iter().find(out_of_range) {
+            Some(NumericSetting { name, value, .. }) => {
+                Err(SettingsError::OutOfRange { field: name, value })
+            }
             None => Ok(()),
         }
     }
 
-    fn figures(&self) -> Vec<Figure> {
-        let figure = |name, value, least| Figure { name, value, least };
-        let mut figures = vec![
-            figure("rules.coldMs", self.slow_start_ms, 0.0),
-            figure("rules.fallMs", self.overload_window_ms, 0.0),
-            figure("rules.fallMultiple", self.overload_multiple, 0.0),
-            figure("rules.startCapacity", self.slow_start_initial_capacity, 0.0),
-            figure("rules.drainGraceMs", self.drain_grace_ms, 0.0),
-            figure("limits.maxRetryAfterMs", self.max_retry_after_ms, 0.0),
-            figure("rules.mustAskInMs", self.max_poll_interval_ms, 0.0),
-            figure("limits.connIdleMs", self.idle_connection_timeout_ms, 0.0),
-            figure("overShareWorth", self.over_quota_weight_factor, 0.0),
-            figure("tickMs", self.batch_interval_ms, 0.0),
-            figure("instances", f64::from(self.node_count), 1.0),
-            figure("limits.attemptsCap", f64::from(self.max_attempts), 1.0),
+    fn numeric_settings(&self) -> Vec<NumericSetting> {
+        let setting = |name, value, min| NumericSetting { name, value, min };
+        let mut numeric_settings = vec![
+            setting("rules.coldMs", self.slow_start_ms, 0.0),
+            setting("rules.fallMs", self.overload_window_ms, 0.0),
+            setting("rules.fallMultiple", self.overload_multiple, 0.0),
+            setting("rules.startCapacity", self.slow_start_initial_capacity, 0.0),
+            setting("rules.drainGraceMs", self.drain_grace_ms, 0.0),
+            setting("limits.maxRetryAfterMs", self.max_retry_after_ms, 0.0),
+            setting("rules.mustAskInMs", self.max_poll_interval_ms, 0.0),
+            setting("limits.connIdleMs", self.idle_connection_timeout_ms, 0.0),
+            setting("overShareWorth", self.over_quota_weight_factor, 0.0),
+            setting("tickMs", self.batch_interval_ms, 0.0),
+            setting("instances", f64::from(self.node_count), 1.0),
+            setting("limits.attemptsCap", f64::from(self.max_attempts), 1.0),
         ];
         for class in &self.classes {
-            figures.push(figure("classes.hardLimitMs", class.deadline_ms, f64::MIN_POSITIVE));
-            figures.push(figure("classes.objectiveMs", class.latency_objective_ms, f64::MIN_POSITIVE));
-            figures.push(figure("classes.value", class.priority_weight, 0.0));
-            figures.push(figure("classes.lateValue", class.late_weight_factor, 0.0));
-            figures.push(figure("classes.keyTtlMs", class.deduplication_window_ms, 0.0));
+            numeric_settings.push(setting("classes.hardLimitMs", class.deadline_ms, f64::MIN_POSITIVE));
+            numeric_settings.push(setting(
+                "classes.objectiveMs",
+                class.latency_objective_ms,
+                f64::MIN_POSITIVE,
+            ));
+            numeric_settings.push(setting("classes.value", class.priority_weight, 0.0));
+            numeric_settings.push(setting("classes.lateValue", class.late_weight_factor, 0.0));
+            numeric_settings.push(setting("classes.keyTtlMs", class.deduplication_window_ms, 0.0));
         }
-        figures
+        numeric_settings
     }
 
-    /// What a repeat of a request of this class may do; a class that is not known falls under the strictest
-    /// rule.
+    /// Returns whether requests of a class may be executed more than once. The strictest rule applies to an
+    /// unknown class.
     pub fn idempotency(&self, class: usize) -> Idempotency {
         self.classes.get(class).map_or(Idempotency::NotIdempotent, |class| class.idempotency)
     }
 
-    /// The latency objective of a class, in milliseconds; infinite for one that is not known.
+    /// Returns the latency objective of a class, in milliseconds; infinite for an unknown class.
     pub(super) fn latency_objective_ms(&self, class: usize) -> f64 {
         self.classes.get(class).map_or(f64::INFINITY, |class| class.latency_objective_ms)
     }
 }
 
-/// Settings that no balancer can run on.
+/// The reason why a balancer cannot run with the settings.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// There must be a class.
-    #[error("classes: at least one is needed")]
+    /// The list of classes is empty.
+    #[error("classes: at least one class is required")]
     NoClass,
-    /// A figure is not a number, or outside its range.
-    #[error("{field}: {value} is outside its range")]
-    Range {
-        /// The setting's name.
+    /// A number is not finite or is below its lower bound.
+    #[error("{field}: {value} is out of range")]
+    OutOfRange {
+        /// The key in the JSON form of the settings.
         field: &'static str,
-        /// Its value.
+        /// The value found.
         value: f64,
     },
 }
--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -102,7 +102,7 @@
         max_attempts: root.count("limits.attemptsCap", 1)?,
         cancellation_allowed: root.flag("limits.mayCancel")?,
         hedging_allowed: root.flag("limits.secondCopies")?,
-        retry_after: root.flag("limits.retryAfter")?,
+        retry_after_allowed: root.flag("limits.retryAfter")?,
         max_retry_after_ms: root.number_or("limits.maxRetryAfterMs", 1000.0)?,
         probes_allowed: root.flag("limits.probing")?,
         peer_messages_allowed: root.flag("limits.peerMessages")?,
@@ -113,7 +113,7 @@
         cpu_us_per_second: root.number_or("limits.cpuUsPerS", 0.0)?,
         clients_mark_retries: root.flag("clientHabits.marksRetry")?,
         over_quota_weight_factor: root.number_or("overShareWorth", 1.0)?,
-        weigh_by_work: root.word("worthBy")? == "work",
+        value_scales_with_work: root.word("worthBy")? == "work",
         warm_keys: root.flag("familyInfo.warmKeys")?,
         slow_start_ms: root.number("rules.coldMs")?,
         slow_start_initial_capacity: root.number("rules.startCapacity")?,
@@ -151,7 +151,7 @@
 
 fn read_objective_weights(root: Section<'_>) -> Result<ObjectiveWeights, SettingsFileError> {
     Ok(ObjectiveWeights {
-        whole: root.number_or("blend.whole", 1.0)?,
+        entire_run: root.number_or("blend.whole", 1.0)?,
         worst_window: root.number_or("blend.worstWindow", 0.0)?,
         worst_class: root.number_or("blend.worstClass", 0.0)?,
         worst_tenant: root.number_or("blend.worstTenant", 0.0)?,
@@ -165,10 +165,10 @@
         cross_zone: root.number_or("prices.crossZone", 0.0)?,
         handshake: root.number_or("prices.handshake", 0.0)?,
         connection: root.number_or("prices.connection", 0.0)?,
-        late_fail: root.number_or("prices.lateFail", 0.0)?,
-        waste: root.number_or("prices.waste", 0.0)?,
+        late_failure: root.number_or("prices.lateFail", 0.0)?,
+        wasted_work: root.number_or("prices.waste", 0.0)?,
         probe: root.number_or("prices.probe", 0.0)?,
-        peer: root.number_or("prices.peer", 0.0)?,
+        peer_message: root.number_or("prices.peer", 0.0)?,
     })
 }
 
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -68,8 +68,8 @@
     assert_eq!((s.peer_messages_allowed, s.max_open_requests, s.max_streams), (true, 10, 2));
     assert_eq!((s.idle_connection_timeout_ms, s.connect_timeout_ms, s.cpu_us_per_second), (9.0, 8.0, 7.0));
     let p = s.costs;
-    assert_eq!((p.cross_zone, p.handshake, p.connection, p.late_fail), (0.1, 0.2, 0.3, 0.4));
-    assert_eq!((p.waste, p.probe, p.peer), (0.5, 0.6, 0.7));
+    assert_eq!((p.cross_zone, p.handshake, p.connection, p.late_failure), (0.1, 0.2, 0.3, 0.4));
+    assert_eq!((p.wasted_work, p.probe, p.peer_message), (0.5, 0.6, 0.7));
     assert_eq!(s.drain_grace_ms, 50.0);
     assert_eq!(s.classes[0].idempotency, Idempotency::NotIdempotent, "no semantics given: the strictest");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -33,7 +33,7 @@
             class(300.0, 800.0, Idempotency::WithKey(DeduplicationScope::Cell)),
         ],
         objective_weights: ObjectiveWeights {
-            whole: 0.5,
+            entire_run: 0.5,
             worst_window: 0.2,
             worst_class: 0.2,
             worst_tenant: 0.1,
@@ -50,7 +50,7 @@
         max_attempts: 3,
         cancellation_allowed: true,
         hedging_allowed: false,
-        retry_after: true,
+        retry_after_allowed: true,
         max_retry_after_ms: 2000.0,
         probes_allowed: false,
         peer_messages_allowed: false,
@@ -61,7 +61,7 @@
         cpu_us_per_second: 0.0,
         over_quota_weight_factor: 0.1,
         clients_mark_retries: false,
-        weigh_by_work: false,
+        value_scales_with_work: false,
         warm_keys: false,
         slow_start_ms: 20_000.0,
         slow_start_initial_capacity: 0.2,
@@ -250,7 +250,7 @@
 
     fn check_rejection(&mut self, id: RequestId, retry_after_ms: f64) {
         assert!(retry_after_ms <= self.settings.max_retry_after_ms, "advice above the maximum");
-        assert!(self.settings.retry_after || retry_after_ms == 0.0, "advice where none is sent");
+        assert!(self.settings.retry_after_allowed || retry_after_ms == 0.0, "advice where none is sent");
         let tracked = self.requests.get(&id).expect("a known request");
         let class = self.settings.classes.get(tracked.request.class);
         let idempotency = class.map_or(Idempotency::NotIdempotent, |class| class.idempotency);
--- a/tests/policy/retry_after.rs
+++ b/tests/policy/retry_after.rs
@@ -14,7 +14,7 @@
         _ => None,
     });
     assert!(wait.is_some_and(|ms| ms >= 400.0), "PRAT and T: {wait:?}");
-    let mut node = TestNode::new(Settings { retry_after: false, ..settings() }, 1);
+    let mut node = TestNode::new(Settings { retry_after_allowed: false, ..settings() }, 1);
     let id = node.request(0, Some(1));
     assert_eq!(node.answer(id), Some(Answer::Rejected), "an empty list rejects");
     let plain = |a: &Action| matches!(a, Action::Reject { id: i, retry_after_ms: 0.0, .. } if *i == id);
--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -64,6 +64,6 @@
     let odd = Settings { slow_start_ms: f64::NAN, ..settings() };
     assert!(matches!(
         Balancer::new(odd, 1).err(),
-        Some(SettingsError::Range { field: "rules.coldMs", .. })
+        Some(SettingsError::OutOfRange { field: "rules.coldMs", .. })
     ));
 }
