--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -37,7 +37,8 @@
 const MIN_LEVEL: f64 = 0.02;
 /// Relative decrease of the admission level per second and unit of overload beyond [`TARGET_OVERLOAD`].
 const LEVEL_DECREASE_PER_SECOND: f64 = 2.0;
-/// Increase of the admission level per second without overload, independent of the level.
+/// Increase of the admission level per second without overload, independent of the level. Both increases
+/// shrink to zero as the overload approaches [`TARGET_OVERLOAD`].
 const LEVEL_BASE_INCREASE_PER_SECOND: f64 = 0.05;
 /// Additional increase of the admission level per second without overload, as a share of the level.
 const LEVEL_PROPORTIONAL_INCREASE_PER_SECOND: f64 = 0.5;
@@ -241,12 +242,13 @@
         self.blocked_share = blocked_share;
         self.estimate_overload(seconds, fleet, settings.node_count);
         self.learn_full_utilization(seconds, fleet.utilization);
-        self.move_level(seconds);
-        self.move_in_flight_limit(seconds);
+        self.adjust_level(seconds);
+        self.adjust_in_flight_limit(seconds);
         self.recent_outcomes.decay(seconds);
         self.assign_admission_chances(&self.rank_groups(settings, classes), seconds);
     }
 
+    /// Estimates the overload from recent outcomes, scaled down if there are few requests in flight.
     fn estimate_overload(&mut self, seconds: f64, fleet: FleetLoad, node_count: u32) {
         self.overload = self.recent_outcomes.overload();
         self.mean_in_flight +=
@@ -273,17 +275,18 @@
         self.overload = self.overload.max(excess.clamp(0.0, 1.0));
     }
 
-    fn move_level(&mut self, seconds: f64) {
+    fn adjust_level(&mut self, seconds: f64) {
         if self.overload > TARGET_OVERLOAD {
             self.level *= 1.0 - seconds * LEVEL_DECREASE_PER_SECOND * (self.overload - TARGET_OVERLOAD);
         } else {
-            let pace = LEVEL_BASE_INCREASE_PER_SECOND + LEVEL_PROPORTIONAL_INCREASE_PER_SECOND * self.level;
-            self.level += seconds * pace * (1.0 - self.overload / TARGET_OVERLOAD);
+            let increase_per_second =
+                LEVEL_BASE_INCREASE_PER_SECOND + LEVEL_PROPORTIONAL_INCREASE_PER_SECOND * self.level;
+            self.level += seconds * increase_per_second * (1.0 - self.overload / TARGET_OVERLOAD);
         }
         self.level = self.level.clamp(MIN_LEVEL, 1.0);
     }
 
-    fn move_in_flight_limit(&mut self, seconds: f64) {
+    fn adjust_in_flight_limit(&mut self, seconds: f64) {
         if self.in_flight_limit_hit && self.overload < TARGET_OVERLOAD {
             self.in_flight_limit_factor *= 1.0 + IN_FLIGHT_LIMIT_GROWTH_PER_SECOND * seconds;
         }
@@ -338,10 +341,10 @@
     }
 }
 
-/// The rank of a group of requests: the value gained per unit of work by admitting them.
+/// A group of requests, with the value that orders the groups for admission.
 #[derive(Clone, Copy, Debug)]
 struct RankedGroup {
-    /// Value gained per millisecond of work, or per request's weight if value is counted by work.
+    /// Gain in the service objective per unit of work.
     value_per_work: f64,
     class: usize,
     freshness: Freshness,
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -34,18 +34,19 @@
 #[derive(Debug, Default)]
 pub(super) struct ConcurrencyLimit {
     limit: f64,
-    /// When the cuts since the previous such time last added up to the limit itself, or the time of the
-    /// first cut, in milliseconds on the balancer's clock. Overload of attempts sent before then is
-    /// ignored, because the limit already reflects it. `None` before the first cut.
+    /// Time of the last full cut, in milliseconds on the balancer's clock. The first cut counts as one;
+    /// after that, a full cut is complete when the cuts since the previous one add up to the limit.
+    /// Overload of attempts sent before then is ignored, because the limit already reflects it. `None`
+    /// before the first cut.
     last_full_cut_at_ms: Option<f64>,
-    /// Sum of the cuts since `last_full_cut_at_ms`, in requests in flight.
+    /// Sum of the cuts since the last full cut, in requests in flight.
     accumulated_cuts: f64,
     /// When the next request may be sent, in milliseconds on the balancer's clock. `None` if the limit has
     /// never been below 1.
     paused_until_ms: Option<f64>,
 }
 
-/// One outcome, as evidence of an endpoint's load.
+/// The load of an endpoint as the end of one attempt shows it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadSample {
     pub now_ms: f64,
--- a/src/policy/load_report.rs
+++ b/src/policy/load_report.rs
@@ -7,8 +7,8 @@
 use super::decaying_mean::DecayingMean;
 use super::event::AttemptOutcome;
 
-/// Divisor of the latency objective that gives the queued work at which an endpoint counts as half
-/// utilized, if it reports its queue and not its utilization.
+/// Divisor of the latency objective. An endpoint that reports its queue but not its utilization counts as
+/// half utilized when its queued work equals the objective divided by this number.
 const HALF_UTILIZATION_DIVISOR: f64 = 8.0;
 /// Largest reduction of a report's weight, 0 to 1, if the previous report has just arrived: reports in
 /// quick succession contain the same noise.
@@ -18,8 +18,7 @@
 /// Weight of one report in the moving average over all endpoints.
 const FLEET_MEAN_STEP: f64 = 0.05;
 
-/// The load of an endpoint as it reported it itself. A field is `None` if the endpoint did not report the
-/// figure.
+/// The load that an endpoint reported about itself. A field is `None` if the endpoint did not report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests that the endpoint holds, queued or running.
--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -23,8 +23,8 @@
 const UNUSED_CUT_SLOPE: f64 = 2.0;
 /// Upper bound of a class's baseline answer time, as a share of its latency objective.
 const MAX_BASELINE_OBJECTIVE_SHARE: f64 = 0.8;
-/// Number of batch intervals after its due time at which a timeout, if it is noticed only then, is
-/// attributed to a stall of this node.
+/// A timeout that is noticed more than this number of batch intervals after it was due is attributed to a
+/// stall of this node.
 const NODE_STALL_BATCHES: f64 = 20.0;
 
 /// An attempt that has ended, with the figures that the estimates learn from.
@@ -202,9 +202,9 @@
 
     /// Returns the degree of overload, 0 to 1, that an outcome shows at the endpoint.
     ///
-    /// It rises from 0 at the geometric mean of the class's baseline answer time and its latency objective,
-    /// to 1 at the objective. More requests in flight than that serve nobody sooner, long before the
-    /// objective itself is missed.
+    /// It is 0 up to the geometric mean of the class's baseline answer time and its latency objective, and
+    /// rises from there to 1 at the objective. Beyond that mean, additional requests in flight are not
+    /// served any sooner, although the objective is not missed until much later.
     fn observed_overload(&self, ended: &EndedAttempt) -> f64 {
         if !ended.is_within_objective {
             return 1.0;
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -6,8 +6,8 @@
 
 /// Time that the discovery service needs for one poll, in milliseconds.
 const DISCOVERY_POLL_DURATION_MS: f64 = 40.0;
-/// Upper bound of the time over which the polls of all nodes are spread, in milliseconds. It bounds how
-/// long a node that was killed and has missed a change of its list waits for the current one.
+/// Upper bound of the time over which the polls of all nodes are spread, in milliseconds. A node that was
+/// killed while its list changed works with the outdated list for no longer than this after its restart.
 const MAX_DISCOVERY_SPREAD_MS: f64 = 2500.0;
 /// Time between two trials of one endpoint by any of the nodes, in milliseconds.
 const TRIAL_INTERVAL_ALL_NODES_MS: f64 = 100.0;
@@ -84,6 +84,7 @@
     interval_ms.max(MIN_BATCHES_BETWEEN_HOUSEKEEPING * settings.batch_interval_ms).max(1.0)
 }
 
+/// Returns the time that the service needs to answer all nodes one after another, within its upper bounds.
 fn discovery_spread_ms(settings: &Settings) -> f64 {
     let sequential_polls_ms = DISCOVERY_POLL_DURATION_MS * f64::from(settings.node_count.max(1) - 1);
     sequential_polls_ms.min(MAX_DISCOVERY_SPREAD_MS).min(settings.max_poll_interval_ms / 2.0)
