--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -34,11 +34,11 @@
 /// The same share as [`COMMON_DEADLINE_SHARE`] for clients that mark their retries: retries are then
 /// excluded from the counts, and a small share is sufficient.
 const COMMON_DEADLINE_SHARE_WITH_MARKED_RETRIES: f64 = 0.05;
-/// Mean deviations above the mean answer time below which a client deadline is short.
+/// A client deadline is short only if it is below the mean answer time plus this number of mean deviations.
 const SHORT_DEADLINE_DEVIATIONS: f64 = 2.0;
-/// Share of the latency objective below which a client deadline is short.
+/// A client deadline is short only if it is also below this share of the latency objective.
 const SHORT_DEADLINE_OBJECTIVE_SHARE: f64 = 0.5;
-/// Mean deviations that are added to the mean answer time for the short attempt timeout n.
+/// Number of mean deviations that the short attempt timeout n is above the mean answer time.
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
 /// Lower bound of the reported mean answer time, in milliseconds.
 const MIN_MEAN_MS: f64 = 1.0;
