--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -4,7 +4,7 @@
 //! the rules that must hold whatever the other modules decide.
 
 use super::action::{Action, RejectionReason};
-use super::admission::{Candidate, FleetView, Freshness};
+use super::admission::{FleetLoad, Freshness, OfferedRequest};
 use super::balancer::Balancer;
 use super::event::AttemptOutcome;
 use super::hash::mix;
@@ -53,8 +53,8 @@
             Freshness::TooOld => terms.weight * terms.late_weight_factor,
         };
         let candidate =
-            Candidate { class: request.class, freshness, cost_ms: self.cost_ms(&request), weight };
-        let fleet = self.fleet_view();
+            OfferedRequest { class: request.class, freshness, cost_ms: self.cost_ms(&request), weight };
+        let fleet = self.fleet_load();
         let admitted = self.admission.decide(candidate, fleet, &self.settings, &mut self.rng);
         if let Some(key) = request.key {
             self.keys.record(mix(key));
@@ -116,8 +116,8 @@
     }
 
     /// What admission sees of the node and the fleet.
-    pub(super) fn fleet_view(&self) -> FleetView {
-        FleetView {
+    pub(super) fn fleet_load(&self) -> FleetLoad {
+        FleetLoad {
             in_flight: self.in_flight,
             endpoints: self.endpoints.placement().len(),
             utilization: self.utilization.mean(),
@@ -207,14 +207,14 @@
         let is_open = |pending: &&PendingRequest| !pending.finished && !pending.has_attempt_in_flight();
         let Some(pending) = self.requests.get(&id).filter(is_open) else { return };
         let idempotency = self.settings.idempotency(pending.request.class);
-        let is_harmless = pending.never_ran() || idempotency.is_harmless_anywhere();
+        let is_harmless = pending.never_ran() || idempotency.allows_client_retry();
         let objective_ms = (pending.objective_at_ms - pending.arrived_at_ms).max(MIN_OBJECTIVE_MS);
         self.requests.remove(&id);
         if !is_harmless {
             actions.push(Action::Fail { id, reason });
             return;
         }
-        let retry_after_ms = if self.settings.retry_after {
+        let retry_after_ms = if self.settings.retry_after_allowed {
             let longest_ms = self.settings.max_retry_after_ms;
             retry_after_ms(now_ms, objective_ms, longest_ms, &self.endpoints, &mut self.rng)
         } else {
@@ -253,7 +253,7 @@
     ) {
         let Some(ended) = self.close_attempt(now_ms, &end) else { return };
         self.learn_from_attempt(now_ms, &ended, load, actions);
-        if ended.in_objective
+        if ended.is_within_objective
             && let Some(class) = self.classes.get_mut(ended.class)
         {
             class.record_served();
@@ -278,10 +278,10 @@
             class: pending.request.class,
             outcome: end.outcome,
             is_trial: attempt.is_trial,
-            in_objective: is_answered && now_ms <= pending.objective_at_ms,
+            is_within_objective: is_answered && now_ms <= pending.objective_at_ms,
             elapsed_ms: elapsed_ms.max(0.0),
             timeout_ms: attempt.timeout_ms,
-            allowed_ms: pending.request.deadline_ms - attempt.sent_at_ms,
+            time_to_deadline_ms: pending.request.deadline_ms - attempt.sent_at_ms,
             weight: pending.weight,
         })
     }
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -91,10 +91,10 @@
     );
     let costs = settings.costs;
     assert_eq!(
-        (costs.cross_zone, costs.handshake, costs.connection, costs.late_fail),
+        (costs.cross_zone, costs.handshake, costs.connection, costs.late_failure),
         (0.1, 0.2, 0.3, 0.4)
     );
-    assert_eq!((costs.waste, costs.probe, costs.peer), (0.5, 0.6, 0.7));
+    assert_eq!((costs.wasted_work, costs.probe, costs.peer_message), (0.5, 0.6, 0.7));
     assert_eq!(settings.drain_grace_ms, 50.0);
     assert_eq!(
         settings.classes[0].idempotency,
