--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -143,11 +143,11 @@
     ) {
         if update == WatchUpdate::Failure {
             let longest_ms = self.settings.max_poll_interval_ms;
-            let pause_ms = self.discovery.failed(&self.tuning, longest_ms, &mut self.rng);
+            let pause_ms = self.discovery.record_failure(&self.tuning, longest_ms, &mut self.rng);
             actions.push(Action::Timer { token: POLL_TIMER, at_ms: now_ms + pause_ms });
             return;
         }
-        self.discovery.succeeded();
+        self.discovery.record_success();
         if update == WatchUpdate::CachedSnapshot && self.settings.discovery == DiscoveryMode::Poll {
             let has_endpoints = !endpoints.is_empty();
             let wait_ms = DiscoverySchedule::first_poll_in_ms(has_endpoints, &self.tuning, &mut self.rng);
@@ -161,9 +161,9 @@
         let seconds = ((now_ms - self.housekeeping_at_ms) / 1000.0).max(MIN_HOUSEKEEPING_SECONDS);
         self.housekeeping_at_ms = now_ms;
         self.schedule_housekeeping(now_ms, actions);
-        let warm_rate = self.endpoints.mean_warm_rate(now_ms, &self.slow_start);
+        let warm_rate = self.endpoints.mean_warm_rate_per_second(now_ms, &self.slow_start);
         self.slow_start.observe_warm_rate(warm_rate);
-        self.endpoints.decay(now_ms, seconds, &self.slow_start);
+        self.endpoints.refill_and_decay(now_ms, seconds, &self.slow_start);
         self.keys.decay(seconds);
         self.endpoints.rebuild_placement(now_ms, &self.slow_start);
         let blocked_share = self.endpoints.blocked_share(now_ms);
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -22,12 +22,17 @@
 
 impl DiscoverySchedule {
     /// A poll was answered.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.consecutive_failures = 0;
     }
 
     /// A poll failed: the time until the next, in milliseconds.
-    pub fn failed(&mut self, tuning: &Tuning, max_poll_interval_ms: f64, rng: &mut fastrand::Rng) -> f64 {
+    pub fn record_failure(
+        &mut self,
+        tuning: &Tuning,
+        max_poll_interval_ms: f64,
+        rng: &mut fastrand::Rng,
+    ) -> f64 {
         self.consecutive_failures = (self.consecutive_failures + 1).min(MAX_DOUBLINGS);
         let first_pause_ms = tuning.housekeeping_interval_ms.max(tuning.discovery_spread_ms / 2.0);
         let pause_ms = first_pause_ms * f64::from(1_u32 << self.consecutive_failures);
--- a/src/policy/endpoint_set.rs
+++ b/src/policy/endpoint_set.rs
@@ -12,7 +12,7 @@
 use super::event::WatchUpdate;
 use super::failure_record::FailureRecord;
 use super::hash::mix;
-use super::selection::RendezvousNode;
+use super::selection::RendezvousEntry;
 use super::settings::Settings;
 use super::slow_start::{SlowStart, SlowStartBudget};
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
     /// Attempts of this node in flight there.
     pub in_flight: u32,
     /// Time that this node's attempts have lately spent in flight there, in milliseconds; it fades.
-    pub busy_ms: f64,
+    pub recent_attempt_ms: f64,
     pub slow_start: SlowStart,
     /// Requests answered within their objective in the last second; it fades.
     pub served_per_second: f64,
@@ -101,7 +101,7 @@
     endpoints: Vec<Endpoint>,
     overrides: BTreeMap<EndpointId, OperatorOverride>,
     restored: RestoredSnapshot,
-    placement: Vec<RendezvousNode>,
+    placement: Vec<RendezvousEntry>,
     slow_start_ms: f64,
     initial_limit: f64,
     classes: usize,
@@ -149,7 +149,7 @@
     }
 
     /// The table that requests are placed by: one node for each endpoint in service.
-    pub fn placement(&self) -> &[RendezvousNode] {
+    pub fn placement(&self) -> &[RendezvousEntry] {
         &self.placement
     }
 
@@ -224,7 +224,7 @@
             listed: false,
             in_service: false,
             in_flight: 0,
-            busy_ms: 0.0,
+            recent_attempt_ms: 0.0,
             slow_start,
             served_per_second: 0.0,
             failures: FailureRecord::default(),
@@ -305,7 +305,7 @@
 
     /// Requests a second that a warm endpoint was lately served by this node, in the mean; none where there
     /// is no warm endpoint.
-    pub fn mean_warm_rate(&self, now_ms: f64, budget: &SlowStartBudget) -> Option<f64> {
+    pub fn mean_warm_rate_per_second(&self, now_ms: f64, budget: &SlowStartBudget) -> Option<f64> {
         let is_warm = |endpoint: &&Endpoint| {
             !endpoint.failures.is_congested() && budget.is_warm(endpoint.slow_start.age_ms(now_ms))
         };
@@ -318,13 +318,13 @@
     }
 
     /// Brings what fades and what fills up to date.
-    pub fn decay(&mut self, now_ms: f64, seconds: f64, budget: &SlowStartBudget) {
+    pub fn refill_and_decay(&mut self, now_ms: f64, seconds: f64, budget: &SlowStartBudget) {
         let busy_retained = (-seconds * 1000.0 / MEMORY_MS).exp();
         let served_retained = (-seconds).exp();
         for endpoint in &mut self.endpoints {
             let tokens = budget.tokens(now_ms, &endpoint.slow_start, endpoint.served_per_second);
             endpoint.slow_start.set_tokens(now_ms, tokens);
-            endpoint.busy_ms *= busy_retained;
+            endpoint.recent_attempt_ms *= busy_retained;
             endpoint.served_per_second *= served_retained;
         }
     }
@@ -343,8 +343,8 @@
             let is_disabled = self.overrides.get(&endpoint.id) == Some(&OperatorOverride::Disabled);
             endpoint.in_service = endpoint.listed && !is_disabled;
         }
-        let node = |(index, endpoint): (usize, &Endpoint)| RendezvousNode {
-            salt: mix(endpoint.id.0),
+        let node = |(index, endpoint): (usize, &Endpoint)| RendezvousEntry {
+            endpoint_hash: mix(endpoint.id.0),
             inverse_weight: 1.0 / (endpoint.weight * self.placement_share(now_ms, endpoint, budget)),
             index,
         };
--- a/src/policy/failure_record.rs
+++ b/src/policy/failure_record.rs
@@ -71,12 +71,12 @@
     }
 
     /// The last attempt failed, or the endpoint is congested.
-    pub fn is_in_doubt(&self) -> bool {
+    pub fn is_suspect(&self) -> bool {
         self.congested || self.consecutive_failures > 0
     }
 
     /// A trial may be sent now.
-    pub fn trial_due(&self, now_ms: f64) -> bool {
+    pub fn is_trial_due(&self, now_ms: f64) -> bool {
         self.congested && !self.trial_pending && now_ms >= self.prat_ms
     }
 
--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -54,7 +54,7 @@
         let Some(index) = self.endpoints.find(ended.endpoint) else { return };
         let endpoint = &mut self.endpoints[index];
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        endpoint.busy_ms += ended.elapsed_ms;
+        endpoint.recent_attempt_ms += ended.elapsed_ms;
         self.close_idle_if_scarce(now_ms, index, ended, actions);
         self.learn_utilization(now_ms, index, ended, load);
         if ended.is_trial {
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -167,7 +167,7 @@
             request: pending,
             late_answers_wanted: keeps_value_when_late
                 && self.admission.level() > LATE_ANSWERS_ADMISSION_LEVEL,
-            may_be_short: self.endpoints[index].failures.is_in_doubt()
+            may_be_short: self.endpoints[index].failures.is_suspect()
                 && allows_repeats
                 && self.retry_budget.affords_repeat(),
             statistics: self.classes.get(pending.request.class),
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -23,17 +23,17 @@
 
 /// An endpoint in service in rendezvous hashing: small, since each request walks all of them.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct RendezvousNode {
-    pub salt: u64,
+pub(super) struct RendezvousEntry {
+    pub endpoint_hash: u64,
     pub inverse_weight: f64,
     /// Where the endpoint stands in the set.
     pub index: usize,
 }
 
-impl RendezvousNode {
+impl RendezvousEntry {
     /// Its rank for a mixed key: the lowest is the first candidate.
     fn rank(&self, key: u64) -> f64 {
-        let uniform = (mix(key ^ self.salt) >> 11) as f64 / (1_u64 << 53) as f64;
+        let uniform = (mix(key ^ self.endpoint_hash) >> 11) as f64 / (1_u64 << 53) as f64;
         -(uniform.max(f64::MIN_POSITIVE)).ln() * self.inverse_weight
     }
 }
@@ -114,8 +114,8 @@
     /// few endpoints.
     fn least_loaded(&self, key: u64) -> Option<usize> {
         let usable = self.endpoints.placement().iter().filter(|node| self.is_usable(node.index));
-        let by_load_and_rank = |a: &&RendezvousNode, b: &&RendezvousNode| {
-            let in_flight = |node: &RendezvousNode| self.endpoints[node.index].in_flight;
+        let by_load_and_rank = |a: &&RendezvousEntry, b: &&RendezvousEntry| {
+            let in_flight = |node: &RendezvousEntry| self.endpoints[node.index].in_flight;
             in_flight(a).cmp(&in_flight(b)).then(a.rank(key).total_cmp(&b.rank(key)))
         };
         usable.min_by(by_load_and_rank).map(|node| node.index)
@@ -132,7 +132,7 @@
             return second.in_flight < first.in_flight;
         }
         if self.sees_sparse_traffic && self.fleet_utilization == 0.0 {
-            return second.busy_ms < first.busy_ms;
+            return second.recent_attempt_ms < first.recent_attempt_ms;
         }
         let utilization =
             |endpoint: &Endpoint| endpoint.utilization.at(self.gate.now_ms, self.fleet_utilization);
--- a/src/policy/send_gate.rs
+++ b/src/policy/send_gate.rs
@@ -43,7 +43,7 @@
     /// concurrency limit, and this request has not tried it. A congested one that is due may take a trial,
     /// which has to be a request that may be repeated.
     pub fn is_usable(&self, endpoint: &Endpoint) -> bool {
-        let may_trial = endpoint.failures.trial_due(self.now_ms)
+        let may_trial = endpoint.failures.is_trial_due(self.now_ms)
             && self.settings.idempotency(self.request.request.class).allows_repeats();
         let was_tried = self.request.attempts.iter().any(|attempt| attempt.endpoint == endpoint.id);
         (!endpoint.failures.is_congested() || may_trial)
