--- a/src/policy/endpoint_set.rs
+++ b/src/policy/endpoint_set.rs
@@ -1,9 +1,11 @@
-//! The endpoints that this node knows: what discovery reports, what the operators take out of service, and
-//! what the previous process handed over.
+//! Keeps the state of all endpoints that this node knows, and decides which of them are in service.
 //!
-//! Discovery, the operators and a restored snapshot may name an endpoint in any order. An endpoint is in
-//! service if discovery lists it as active and no operator has disabled it. What a snapshot says of an
-//! endpoint that is not listed yet is kept until it is.
+//! Discovery, the operators and a snapshot of the previous process may name an endpoint in any order, and
+//! they may disagree about it.
+//!
+//! An endpoint is in service if discovery lists it as active and no operator has disabled it. If a snapshot
+//! contains an endpoint that discovery has not listed yet, its snapshot entry is kept until discovery lists
+//! the endpoint, for at most the duration of a slow start.
 
 use super::class_outlier::ClassFailures;
 use super::concurrency_limit::{ConcurrencyLimit, initial_limit};
@@ -18,64 +20,74 @@
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
 
-/// Weight of an endpoint beyond this node's zone, where crossing zones costs: enough of them are left for a
-/// zone with more traffic than its own can carry, and a key stays with few endpoints.
-const OTHER_ZONE_WEIGHT: f64 = 0.5;
-/// What an endpoint served fades to a third in this time, in milliseconds.
-const SERVED_MEMORY_MS: f64 = 1000.0;
+/// Factor on the weight of endpoints in other zones, if attempts that cross zones have a cost. It is not 0,
+/// so that a zone with more traffic than its own endpoints can carry still uses endpoints of other zones,
+/// and so that each key keeps to few endpoints.
+const OTHER_ZONE_WEIGHT_FACTOR: f64 = 0.5;
+/// Time constant of the exponential decay of [`Endpoint::served_per_second`], in milliseconds. It is one
+/// second, so that the decaying count is an estimate of the rate per second;
+/// [`EndpointSet::refill_and_decay`] applies the same decay.
+const SERVED_DECAY_MS: f64 = 1000.0;
 
-/// One endpoint as this node knows it.
+/// One endpoint, with everything that this node has learned about it.
 #[derive(Debug)]
 pub(super) struct Endpoint {
     pub id: EndpointId,
     pub location: Location,
+    /// Capacity relative to the other endpoints, from discovery; always positive.
     weight: f64,
-    /// Discovery lists it as active.
-    listed: bool,
-    /// It is listed and not disabled; sending to any other would break the drain rule.
+    /// Discovery lists the endpoint as active.
+    listed_active: bool,
+    /// The endpoint is listed as active and no operator has disabled it. Attempts at any other endpoint
+    /// would break the drain rule ([`Settings::drain_grace_ms`]).
     pub in_service: bool,
-    /// Attempts of this node in flight there.
+    /// Attempts of this node that are in flight at the endpoint.
     pub in_flight: u32,
-    /// Time that this node's attempts have lately spent in flight there, in milliseconds; it fades.
+    /// Total duration of the attempts of this node that ended here, in milliseconds, with exponential decay.
     pub recent_attempt_ms: f64,
     pub slow_start: SlowStart,
-    /// Requests answered within their objective in the last second; it fades.
+    /// Requests of this node that the endpoint answered within their latency objective, per second; an
+    /// exponentially decaying count.
     pub served_per_second: f64,
     pub failures: FailureRecord,
     pub limit: ConcurrencyLimit,
-    /// Utilization by its load reports.
+    /// Utilization according to the endpoint's load reports, 0 to 1.
     pub utilization: DecayingMean,
     pub class_failures: ClassFailures,
 }
 
 impl Endpoint {
-    /// Whether neither congestion nor the concurrency limit keeps requests away.
-    fn is_open(&self, now_ms: f64) -> bool {
+    /// Returns whether the endpoint is neither congested nor at its concurrency limit.
+    fn is_available(&self, now_ms: f64) -> bool {
         !self.failures.is_congested() && !self.limit.blocks(now_ms, self.in_flight)
     }
 
-    /// A new process runs there: what was learned of the old one says nothing of it.
+    /// Restarts the slow start of an endpoint at which a new process runs, or is assumed to run. Also clears
+    /// the failure record and the served rate, because they describe the old process.
     pub fn begin_slow_start(&mut self, started_at_ms: f64, rng: &mut fastrand::Rng) {
         self.slow_start.restart(started_at_ms, rng.f64());
         self.served_per_second = 0.0;
         self.failures.clear();
     }
 
+    /// Applies the state that the previous process had learned. `restored_at_ms` is when this process
+    /// received the snapshot: the served rate has decayed since then.
     fn restore(&mut self, now_ms: f64, snapshot: &EndpointSnapshot, restored_at_ms: f64) {
         self.slow_start.restore(snapshot.started_at_ms);
         self.failures.restore(snapshot.prat_ms);
         self.limit.restore(now_ms, snapshot.concurrency_limit);
-        let faded = (-(now_ms - restored_at_ms) / SERVED_MEMORY_MS).exp();
-        self.served_per_second = snapshot.served_per_second.max(0.0) * faded;
+        let retained = (-(now_ms - restored_at_ms) / SERVED_DECAY_MS).exp();
+        self.served_per_second = snapshot.served_per_second.max(0.0) * retained;
     }
 }
 
-/// What the operators have said of an endpoint.
+/// An operator's command that still affects an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum OperatorOverride {
-    /// It is out of service.
+    /// The endpoint is out of service until an operator enables it.
     Disabled,
-    /// It was enabled at this time, in milliseconds; remembered while its slow start lasts.
+    /// An operator enabled the endpoint again at this time, in milliseconds on the balancer's clock. The
+    /// override is dropped when the slow start that began at that time is over.
     EnabledAt(f64),
 }
 
@@ -88,24 +100,29 @@
     }
 }
 
-/// What the previous process knew of endpoints that are not listed yet.
+/// The part of the previous process's snapshot that is not applied yet: its endpoints that discovery has
+/// not listed.
 #[derive(Debug, Default)]
 struct RestoredSnapshot {
     endpoints: Vec<EndpointSnapshot>,
+    /// When this process received the snapshot, in milliseconds on the balancer's clock.
     restored_at_ms: f64,
 }
 
-/// All endpoints that this node knows, ordered by id, and the table that requests are placed by.
+/// All endpoints that this node knows, and the placement table that selection uses.
 #[derive(Debug)]
 pub(super) struct EndpointSet {
+    /// Ordered by id.
     endpoints: Vec<Endpoint>,
     overrides: BTreeMap<EndpointId, OperatorOverride>,
     restored: RestoredSnapshot,
+    /// The placement table: one entry for each endpoint in service, in the order of `endpoints`.
     placement: Vec<RendezvousEntry>,
     slow_start_ms: f64,
+    /// Initial concurrency limit of a new endpoint, in requests in flight.
     initial_limit: f64,
-    classes: usize,
-    /// This node's zone, where sending beyond it costs.
+    class_count: usize,
+    /// This node's zone; `None` if it is unknown or if attempts that cross zones have no cost.
     preferred_zone: Option<u16>,
 }
 
@@ -124,7 +141,7 @@
 }
 
 impl EndpointSet {
-    /// A set of a node that knows no endpoint.
+    /// Creates an empty set.
     pub fn new(settings: &Settings) -> EndpointSet {
         EndpointSet {
             endpoints: Vec::new(),
@@ -133,42 +150,47 @@
             placement: Vec::new(),
             slow_start_ms: settings.slow_start_ms,
             initial_limit: initial_limit(settings.node_count),
-            classes: settings.classes.len(),
+            class_count: settings.classes.len(),
             preferred_zone: settings.zone.filter(|_| settings.costs.cross_zone > 0.0),
         }
     }
 
-    /// All endpoints, in and out of service.
+    /// Returns all endpoints, in and out of service, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.iter()
     }
 
-    /// Those in service.
+    /// Returns the endpoints in service, ordered by id.
     pub fn in_service(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.iter().filter(|endpoint| endpoint.in_service)
     }
 
-    /// The table that requests are placed by: one node for each endpoint in service.
+    /// Returns the placement table: one entry for each endpoint in service, ordered by id.
     pub fn placement(&self) -> &[RendezvousEntry] {
         &self.placement
     }
 
-    /// Where an endpoint stands in the set.
+    /// Returns the index of an endpoint in the set, or `None` if this node does not know the endpoint.
     pub fn find(&self, id: EndpointId) -> Option<usize> {
         self.endpoints.binary_search_by_key(&id, |endpoint| endpoint.id).ok()
     }
 
-    /// Whether an endpoint may be sent to, as far as discovery and the operators go.
+    /// Returns whether discovery lists the endpoint as active and no operator has disabled it.
     pub fn is_in_service(&self, id: EndpointId) -> bool {
         self.find(id).is_some_and(|index| self.endpoints[index].in_service)
     }
 
-    /// Those that the operators have out of service.
+    /// Returns the endpoints that the operators have disabled.
     pub fn disabled(&self) -> impl Iterator<Item = EndpointId> {
-        self.overrides.iter().filter(|(_, o)| **o == OperatorOverride::Disabled).map(|(id, _)| *id)
+        let is_disabled = |(_, operator_override): &(&EndpointId, &OperatorOverride)| {
+            **operator_override == OperatorOverride::Disabled
+        };
+        self.overrides.iter().filter(is_disabled).map(|(id, _)| *id)
     }
 
-    /// Takes in a report of discovery; it must not be a failure.
+    /// Applies an update of the endpoint list. `update` must not be [`WatchUpdate::Failure`].
+    ///
+    /// Removes the endpoints that are not listed as active and have no attempts in flight.
     pub fn apply_update(
         &mut self,
         now_ms: f64,
@@ -178,18 +200,18 @@
         rng: &mut fastrand::Rng,
     ) {
         if update != WatchUpdate::Delta {
-            self.endpoints.iter_mut().for_each(|endpoint| endpoint.listed = false);
+            self.endpoints.iter_mut().for_each(|endpoint| endpoint.listed_active = false);
         }
         for endpoint in endpoints {
             self.apply_endpoint(now_ms, endpoint, rng);
         }
         self.apply_restored(now_ms);
-        self.endpoints.retain(|endpoint| endpoint.listed || endpoint.in_flight > 0);
+        self.endpoints.retain(|endpoint| endpoint.listed_active || endpoint.in_flight > 0);
         self.rebuild_placement(now_ms, budget);
     }
 
     fn apply_endpoint(&mut self, now_ms: f64, update: &EndpointUpdate, rng: &mut fastrand::Rng) {
-        let started_at_ms = self.latest_start(update);
+        let started_at_ms = self.latest_start_ms(update);
         let index = match self.endpoints.binary_search_by_key(&update.endpoint, |endpoint| endpoint.id) {
             Ok(index) => index,
             Err(index) => {
@@ -199,21 +221,27 @@
             }
         };
         let endpoint = &mut self.endpoints[index];
-        if let Some(started_at) = started_at_ms.filter(|at| Some(*at) > endpoint.slow_start.started_at_ms) {
-            endpoint.begin_slow_start(started_at, rng);
+        let is_later = |at_ms: &f64| Some(*at_ms) > endpoint.slow_start.started_at_ms;
+        if let Some(at_ms) = started_at_ms.filter(is_later) {
+            endpoint.begin_slow_start(at_ms, rng);
         }
         endpoint.location = update.location();
         endpoint.weight =
             if update.weight.is_finite() && update.weight > 0.0 { update.weight } else { 1.0 };
-        endpoint.listed = update.state == EndpointState::Active;
+        endpoint.listed_active = update.state == EndpointState::Active;
     }
 
-    /// When an endpoint last started: as discovery states it, or as the operators put it back, which means
-    /// that it was restarted meanwhile.
-    fn latest_start(&self, update: &EndpointUpdate) -> Option<f64> {
-        let reported = Some(update.started_at_ms).filter(|at| at.is_finite() && *at > 0.0);
-        let enabled = self.overrides.get(&update.endpoint).and_then(|o| o.enabled_at_ms());
-        enabled.into_iter().chain(reported).reduce(f64::max)
+    /// Returns when an endpoint last started, in milliseconds on the balancer's clock: the start that
+    /// discovery reports or the time at which an operator enabled the endpoint, whichever is later. An
+    /// endpoint that an operator enables is assumed to have been restarted while it was out of service.
+    /// Returns `None` if neither time is known.
+    fn latest_start_ms(&self, update: &EndpointUpdate) -> Option<f64> {
+        let reported_ms = Some(update.started_at_ms).filter(|at_ms| at_ms.is_finite() && *at_ms > 0.0);
+        let enabled_ms = self
+            .overrides
+            .get(&update.endpoint)
+            .and_then(|operator_override| operator_override.enabled_at_ms());
+        enabled_ms.into_iter().chain(reported_ms).reduce(f64::max)
     }
 
     fn new_endpoint(&self, id: EndpointId, slow_start: SlowStart) -> Endpoint {
@@ -221,7 +249,7 @@
             id,
             location: Location::default(),
             weight: 1.0,
-            listed: false,
+            listed_active: false,
             in_service: false,
             in_flight: 0,
             recent_attempt_ms: 0.0,
@@ -230,17 +258,19 @@
             failures: FailureRecord::default(),
             limit: ConcurrencyLimit::new(self.initial_limit),
             utilization: DecayingMean::default(),
-            class_failures: ClassFailures::new(self.classes),
+            class_failures: ClassFailures::new(self.class_count),
         }
     }
 
-    /// The operators take an endpoint out of service.
+    /// Takes an endpoint out of service at an operator's command. The endpoint may be unknown: the command
+    /// applies as soon as discovery lists it.
     pub fn disable(&mut self, now_ms: f64, id: EndpointId, budget: &SlowStartBudget) {
         self.overrides.insert(id, OperatorOverride::Disabled);
         self.rebuild_placement(now_ms, budget);
     }
 
-    /// The operators put an endpoint back: it starts slowly, whatever discovery says of its start.
+    /// Puts a disabled endpoint back into service at an operator's command. It goes through a slow start,
+    /// whatever start time discovery reports. Does nothing if the endpoint is not disabled.
     pub fn enable(
         &mut self,
         now_ms: f64,
@@ -249,8 +279,8 @@
         rng: &mut fastrand::Rng,
     ) {
         match self.overrides.get_mut(&id) {
-            Some(known) if *known == OperatorOverride::Disabled => {
-                *known = OperatorOverride::EnabledAt(now_ms)
+            Some(operator_override) if *operator_override == OperatorOverride::Disabled => {
+                *operator_override = OperatorOverride::EnabledAt(now_ms)
             }
             _ => return,
         }
@@ -260,32 +290,33 @@
         self.rebuild_placement(now_ms, budget);
     }
 
-    /// What the next process of this node has to know.
+    /// Returns the state that the next process of this node needs, for each endpoint.
     pub fn snapshot(&self, now_ms: f64) -> Vec<EndpointSnapshot> {
-        let is_cold = |started_at: &f64| now_ms - started_at < self.slow_start_ms;
-        let snapshot = |endpoint: &Endpoint| EndpointSnapshot {
+        let is_in_slow_start = |started_at_ms: &f64| now_ms - started_at_ms < self.slow_start_ms;
+        let snapshot_of = |endpoint: &Endpoint| EndpointSnapshot {
             endpoint: endpoint.id,
-            started_at_ms: endpoint.slow_start.started_at_ms.filter(is_cold),
+            started_at_ms: endpoint.slow_start.started_at_ms.filter(is_in_slow_start),
             prat_ms: Some(endpoint.failures.prat_ms()).filter(|_| endpoint.failures.is_congested()),
             concurrency_limit: endpoint.limit.limit(),
             served_per_second: endpoint.served_per_second,
         };
-        self.endpoints.iter().map(snapshot).collect()
+        self.endpoints.iter().map(snapshot_of).collect()
     }
 
-    /// Takes over what the previous process knew. The list that this one starts with may be older, so what
-    /// it does not name yet is kept until a later one does.
+    /// Applies the snapshot of the previous process. The endpoint list that this process starts with may be
+    /// older than the snapshot, so snapshot entries of endpoints that are not listed are kept for a later
+    /// list.
     pub fn restore(&mut self, now_ms: f64, endpoints: Vec<EndpointSnapshot>, budget: &SlowStartBudget) {
         self.restored = RestoredSnapshot { endpoints, restored_at_ms: now_ms };
         self.apply_restored(now_ms);
         self.rebuild_placement(now_ms, budget);
     }
 
-    /// Applies the restored snapshot to the endpoints that are listed by now.
+    /// Applies the kept snapshot entries to the endpoints that have been listed since.
     fn apply_restored(&mut self, now_ms: f64) {
         let restored_at_ms = self.restored.restored_at_ms;
         if now_ms - restored_at_ms > self.slow_start_ms {
-            // None of them is in slow start any more, and the rest is learned anew.
+            // By now every slow start in the snapshot is over, and this process learns the rest itself.
             self.restored.endpoints.clear();
         }
         for snapshot in std::mem::take(&mut self.restored.endpoints) {
@@ -296,66 +327,73 @@
         }
     }
 
-    /// Another process serves alongside this one: each is served half of what one was seen to be. Within a
-    /// second it shows who serves how much.
+    /// Halves the served rates of all endpoints at the start of a handover. The old and the new process then
+    /// share this node's traffic; half is the initial estimate for each, and the decaying counts replace it
+    /// with the observed rates within about a second.
     pub fn halve_served_rates(&mut self) {
         self.restored.endpoints.iter_mut().for_each(|endpoint| endpoint.served_per_second /= 2.0);
         self.endpoints.iter_mut().for_each(|endpoint| endpoint.served_per_second /= 2.0);
     }
 
-    /// Requests a second that a warm endpoint was lately served by this node, in the mean; none where there
-    /// is no warm endpoint.
+    /// Returns the mean served rate of the warm endpoints that are in service and not congested, in requests
+    /// of this node per second. Returns `None` if there is no such endpoint.
     pub fn mean_warm_rate_per_second(&self, now_ms: f64, budget: &SlowStartBudget) -> Option<f64> {
         let is_warm = |endpoint: &&Endpoint| {
             !endpoint.failures.is_congested() && budget.is_warm(endpoint.slow_start.age_ms(now_ms))
         };
-        let (mut endpoints, mut served) = (0.0, 0.0);
+        let (mut endpoint_count, mut total_per_second) = (0.0, 0.0);
         for endpoint in self.in_service().filter(is_warm) {
-            endpoints += 1.0;
-            served += endpoint.served_per_second;
+            endpoint_count += 1.0;
+            total_per_second += endpoint.served_per_second;
         }
-        (endpoints > 0.0).then_some(served / endpoints)
+        (endpoint_count > 0.0).then_some(total_per_second / endpoint_count)
     }
 
-    /// Brings what fades and what fills up to date.
+    /// Refills the slow-start token buckets up to `now_ms`, and decays the recent figures of all endpoints by
+    /// the time since the last call, `seconds`.
     pub fn refill_and_decay(&mut self, now_ms: f64, seconds: f64, budget: &SlowStartBudget) {
-        let busy_retained = (-seconds * 1000.0 / MEMORY_MS).exp();
+        let attempt_ms_retained = (-seconds * 1000.0 / MEMORY_MS).exp();
         let served_retained = (-seconds).exp();
         for endpoint in &mut self.endpoints {
             let tokens = budget.tokens(now_ms, &endpoint.slow_start, endpoint.served_per_second);
             endpoint.slow_start.set_tokens(now_ms, tokens);
-            endpoint.recent_attempt_ms *= busy_retained;
+            endpoint.recent_attempt_ms *= attempt_ms_retained;
             endpoint.served_per_second *= served_retained;
         }
     }
 
-    /// Share of the endpoints in service that are congested or at their concurrency limit.
+    /// Returns the share of the endpoints in service that are congested or at their concurrency limit, 0 to
+    /// 1; 0 if none is in service.
     pub fn blocked_share(&self, now_ms: f64) -> f64 {
-        let blocked = self.in_service().filter(|endpoint| !endpoint.is_open(now_ms)).count();
+        let blocked = self.in_service().filter(|endpoint| !endpoint.is_available(now_ms)).count();
         blocked as f64 / self.in_service().count().max(1) as f64
     }
 
-    /// Notes which endpoints are in service, and rebuilds the table that requests are placed by.
+    /// Updates which endpoints are in service, drops operator overrides that no longer apply, and rebuilds
+    /// the placement table.
     pub fn rebuild_placement(&mut self, now_ms: f64, budget: &SlowStartBudget) {
         let slow_start_ms = self.slow_start_ms;
-        self.overrides.retain(|_, o| o.enabled_at_ms().is_none_or(|at| now_ms - at < slow_start_ms));
+        self.overrides.retain(|_, operator_override| {
+            operator_override.enabled_at_ms().is_none_or(|at_ms| now_ms - at_ms < slow_start_ms)
+        });
         for endpoint in &mut self.endpoints {
             let is_disabled = self.overrides.get(&endpoint.id) == Some(&OperatorOverride::Disabled);
-            endpoint.in_service = endpoint.listed && !is_disabled;
+            endpoint.in_service = endpoint.listed_active && !is_disabled;
         }
-        let node = |(index, endpoint): (usize, &Endpoint)| RendezvousEntry {
+        let entry = |(index, endpoint): (usize, &Endpoint)| RendezvousEntry {
             endpoint_hash: mix(endpoint.id.0),
             inverse_weight: 1.0 / (endpoint.weight * self.placement_share(now_ms, endpoint, budget)),
             index,
         };
-        let listed = self.endpoints.iter().enumerate().filter(|(_, endpoint)| endpoint.in_service);
-        self.placement = listed.map(node).collect();
+        let in_service = self.endpoints.iter().enumerate().filter(|(_, endpoint)| endpoint.in_service);
+        self.placement = in_service.map(entry).collect();
     }
 
-    /// What part of its weight an endpoint has among the candidates.
+    /// Returns the factor on an endpoint's weight in the placement table, 0 to 1: lower during slow start and
+    /// for endpoints in other zones.
     fn placement_share(&self, now_ms: f64, endpoint: &Endpoint, budget: &SlowStartBudget) -> f64 {
         let share = budget.placement_share(endpoint.slow_start.age_ms(now_ms), endpoint.served_per_second);
-        let is_far = self.preferred_zone.is_some_and(|zone| zone != endpoint.location.zone);
-        share * if is_far { OTHER_ZONE_WEIGHT } else { 1.0 }
+        let is_in_other_zone = self.preferred_zone.is_some_and(|zone| zone != endpoint.location.zone);
+        share * if is_in_other_zone { OTHER_ZONE_WEIGHT_FACTOR } else { 1.0 }
     }
 }
