--- a/src/policy/failure_record.rs
+++ b/src/policy/failure_record.rs
@@ -1,86 +1,97 @@
-//! Which endpoints fail: a window of recent failures, the congested state, and its trials.
+//! Records the failures of one endpoint, and decides when it becomes congested and when a trial may be sent.
 //!
-//! An endpoint that hangs or has gone costs each request sent there its time. So failures and attempts are
-//! counted in a window of N milliseconds, kept in buckets. More than M failures make the endpoint
-//! congested: nothing is sent there before PRAT, the proxy retry-at time. After PRAT one request at a time
-//! is a trial. Any answer makes the endpoint live again; a failure sets PRAT anew.
+//! An endpoint that hangs or no longer exists uses up the time that each request sent to it has for an
+//! answer.
+//!
+//! Failures and attempts are counted in a sliding window of N milliseconds, which consists of buckets. With
+//! more than M failures in the window the endpoint becomes congested: no request is sent to it before PRAT,
+//! the proxy retry-at time. After PRAT, one request at a time is sent as a trial. If the trial gets any
+//! answer, the endpoint is live again; if the trial fails, PRAT is set to a later time.
 
-/// Buckets of the failure window.
+/// Number of buckets in the failure window.
 const BUCKETS: usize = 16;
-/// M, the failures allowed in the window, is this ...
+/// Constant term of M, the number of failures allowed in the window.
 const ALLOWED_FAILURES: f64 = 1.0;
-/// ... plus this part of the attempts ...
+/// Term of M that grows with the attempts in the window: allowed failures per attempt.
 const ALLOWED_FAILURE_SHARE: f64 = 0.25;
-/// ... plus this multiple of the failure share of all endpoints: a shared failure says little of one
-/// endpoint.
-const FLEET_SHARE_FACTOR: f64 = 3.0;
-/// A run of failures trips an endpoint if chance alone brings it less often than this.
-const CHANCE_OF_RUN: f64 = 0.005;
-/// The failure share of all endpoints is taken to lie within these bounds where chance is estimated.
-const FLEET_SHARE_BOUNDS: (f64, f64) = (0.02, 0.95);
-
+/// Term of M that grows with the failure share of all endpoints: allowed failures per attempt, as a multiple
+/// of that share. A failure that affects all endpoints says little about one of them.
+const FLEET_FAILURE_SHARE_FACTOR: f64 = 3.0;
+/// A run of consecutive failures trips an endpoint if the probability that it arises by chance is lower than
+/// this.
+const RUN_PROBABILITY_THRESHOLD: f64 = 0.005;
+/// Bounds that the failure share of all endpoints is clamped to before that probability is computed.
+const FLEET_FAILURE_SHARE_BOUNDS: (f64, f64) = (0.02, 0.95);
+
+/// Counts of the attempts that ended within one part of the failure window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     failures: u16,
     attempts: u16,
 }
 
-/// What the failure window holds.
+/// Counts of the attempts that ended within the failure window.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WindowTotals {
     pub failures: f64,
+    /// Failures and answers.
     pub attempts: f64,
 }
 
-/// The failure record of one endpoint.
+/// The failure window of one endpoint and, if the endpoint is congested, the state of its trials.
 #[derive(Debug, Default)]
 pub(super) struct FailureRecord {
     buckets: [Bucket; BUCKETS],
-    /// Number of the newest bucket, counted from the clock's origin.
+    /// Number of the newest bucket, counted from the clock's origin. Bucket number `n` is stored at index
+    /// `n % BUCKETS`.
     newest_bucket: u64,
-    /// Failures since the last answer of any kind.
+    /// Failures since the last recorded success.
     consecutive_failures: u32,
     congested: bool,
+    /// Proxy retry-at time, in milliseconds on the balancer's clock; meaningful only if `congested` is set.
     prat_ms: f64,
-    /// Trials failed in a row.
+    /// Consecutive trials that failed.
     failed_trials: u32,
+    /// A trial is in flight.
     trial_pending: bool,
-    /// A trial found no connection: the process may have ended, and a new one starts slowly.
+    /// A connection could not be made for at least one trial. The endpoint's process may have ended; a new
+    /// process needs a slow start.
     unreachable: bool,
 }
 
-/// How a trial ended that was answered.
+/// Summary of a congested period that an answered trial has ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Recovery {
-    /// Trials that failed before.
+    /// Number of trials that failed during the congested period.
     pub failed_trials: u32,
-    /// One of them found no connection.
+    /// A connection could not be made for at least one of the failed trials.
     pub was_unreachable: bool,
 }
 
 impl FailureRecord {
-    /// Nothing is sent but trials.
+    /// Returns whether the endpoint is congested: it gets no requests other than trials.
     pub fn is_congested(&self) -> bool {
         self.congested
     }
 
-    /// When the first trial may be sent, in milliseconds on the balancer's clock; meaningful only while
-    /// congested.
+    /// Returns the proxy retry-at time: when the next trial may be sent, in milliseconds on the balancer's
+    /// clock. Meaningful only while the endpoint is congested.
     pub fn prat_ms(&self) -> f64 {
         self.prat_ms
     }
 
-    /// The last attempt failed, or the endpoint is congested.
+    /// Returns whether the endpoint is congested or the last recorded attempt failed.
     pub fn is_suspect(&self) -> bool {
         self.congested || self.consecutive_failures > 0
     }
 
-    /// A trial may be sent now.
+    /// Returns whether a trial may be sent: the endpoint is congested, PRAT has passed and no trial is in
+    /// flight.
     pub fn is_trial_due(&self, now_ms: f64) -> bool {
         self.congested && !self.trial_pending && now_ms >= self.prat_ms
     }
 
-    /// Counts an attempt that ended, in a window of `window_ms`.
+    /// Counts an attempt that has ended. `window_ms` is N, the length of the failure window.
     pub fn record(&mut self, now_ms: f64, window_ms: f64, failed: bool) {
         self.advance(now_ms, window_ms);
         let bucket = &mut self.buckets[(self.newest_bucket % BUCKETS as u64) as usize];
@@ -89,7 +100,7 @@
         self.consecutive_failures = if failed { self.consecutive_failures.saturating_add(1) } else { 0 };
     }
 
-    /// Empties the buckets whose time is over.
+    /// Moves the window forward to `now_ms`, and clears the buckets that are reused.
     fn advance(&mut self, now_ms: f64, window_ms: f64) {
         let current = (now_ms.max(0.0) / (window_ms / BUCKETS as f64)) as u64;
         let passed = current.saturating_sub(self.newest_bucket).min(BUCKETS as u64);
@@ -99,7 +110,7 @@
         self.newest_bucket = self.newest_bucket.max(current);
     }
 
-    /// What the window holds.
+    /// Returns the counts of the whole window, as of the last recorded attempt.
     pub fn totals(&self) -> WindowTotals {
         let sum = |count: fn(&Bucket) -> u16| -> f64 {
             self.buckets.iter().map(|bucket| f64::from(count(bucket))).sum()
@@ -107,51 +118,56 @@
         WindowTotals { failures: sum(|bucket| bucket.failures), attempts: sum(|bucket| bucket.attempts) }
     }
 
-    /// Whether the failures in the window are more than M, or the latest form a run that is too long for
-    /// chance.
+    /// Returns whether the endpoint must become congested: the window contains more than M failures, or the
+    /// run of the latest failures is too long to be chance.
     ///
-    /// `fleet_failure_share` is the failure share of all endpoints. With sparse traffic a window holds an
-    /// attempt or two, and a wrong trip costs next to nothing: any failure trips.
+    /// `fleet_failure_share` is the share of recent attempts at all endpoints that failed, 0 to 1. With
+    /// sparse traffic any failure trips the endpoint: the window contains only one or two attempts, and the
+    /// cost of a false trip is negligible.
     pub fn should_trip(&self, fleet_failure_share: f64, sees_sparse_traffic: bool) -> bool {
         let WindowTotals { failures, attempts } = self.totals();
         let allowed = ALLOWED_FAILURES
-            + attempts * (ALLOWED_FAILURE_SHARE + FLEET_SHARE_FACTOR * fleet_failure_share);
+            + attempts * (ALLOWED_FAILURE_SHARE + FLEET_FAILURE_SHARE_FACTOR * fleet_failure_share);
         let allowed_run =
             if sees_sparse_traffic { 0.0 } else { longest_run_by_chance(fleet_failure_share) };
-        // A run counts only as far as it is within the window.
+        // Failures of the run that have left the window do not count.
         let run = failures.min(f64::from(self.consecutive_failures));
         !self.congested && (failures > allowed || run > allowed_run)
     }
 
-    /// Makes the endpoint congested until `prat_ms`.
+    /// Makes the endpoint congested. `prat_ms` is when the first trial may be sent, in milliseconds on the
+    /// balancer's clock.
     pub fn trip(&mut self, prat_ms: f64) {
         self.congested = true;
         self.prat_ms = prat_ms;
     }
 
-    /// Takes over what the previous process knew: the PRAT of a congested endpoint, none for a live one.
+    /// Applies the state that the previous process handed over. `prat_ms` is the PRAT if the endpoint is
+    /// congested, and `None` if it is live.
     pub fn restore(&mut self, prat_ms: Option<f64>) {
         self.congested = prat_ms.is_some();
         self.prat_ms = prat_ms.unwrap_or(0.0);
     }
 
-    /// Notes that an attempt was sent. True if it is a trial.
+    /// Records that an attempt is sent. Returns whether it is a trial.
     pub fn attempt_sent(&mut self) -> bool {
         self.trial_pending |= self.congested;
         self.congested
     }
 
-    /// Trials failed in a row.
+    /// Returns the number of consecutive trials that failed.
     pub fn failed_trials(&self) -> u32 {
         self.failed_trials
     }
 
-    /// A trial was cancelled or never sent: the next may follow.
+    /// Records that a trial was cancelled or not sent. PRAT stays as it is, so another trial may be sent at
+    /// once.
     pub fn trial_abandoned(&mut self) {
         self.trial_pending = false;
     }
 
-    /// A trial failed: the next may follow at `prat_ms`. `unreachable` if it found no connection.
+    /// Records that a trial failed. `prat_ms` is when the next trial may be sent, in milliseconds on the
+    /// balancer's clock; `unreachable` says that no connection could be made.
     pub fn trial_failed(&mut self, prat_ms: f64, unreachable: bool) {
         self.trial_pending = false;
         self.failed_trials += 1;
@@ -159,21 +175,24 @@
         self.prat_ms = prat_ms;
     }
 
-    /// A trial was answered: the endpoint is live.
+    /// Records that a trial was answered, which makes the endpoint live. Clears the failure record.
     pub fn trial_answered(&mut self) -> Recovery {
         let recovery = Recovery { failed_trials: self.failed_trials, was_unreachable: self.unreachable };
         self.clear();
         recovery
     }
 
-    /// Forgets all that is known, as for a new process.
+    /// Clears all counts and the congested state, as for a new process. `newest_bucket` stays: it is a time,
+    /// not a count.
     pub fn clear(&mut self) {
         *self = FailureRecord { newest_bucket: self.newest_bucket, ..FailureRecord::default() };
     }
 }
 
-/// The longest run of failures that chance brings often enough to be taken for chance.
+/// Returns the length up to which a run of failures is attributed to chance: the run continues after its
+/// first failure with a probability of at least [`RUN_PROBABILITY_THRESHOLD`] if each attempt fails with a
+/// probability of `fleet_failure_share`.
 fn longest_run_by_chance(fleet_failure_share: f64) -> f64 {
-    let (least, most) = FLEET_SHARE_BOUNDS;
-    1.0 + CHANCE_OF_RUN.ln() / fleet_failure_share.clamp(least, most).ln()
+    let (min_share, max_share) = FLEET_FAILURE_SHARE_BOUNDS;
+    1.0 + RUN_PROBABILITY_THRESHOLD.ln() / fleet_failure_share.clamp(min_share, max_share).ln()
 }
