--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,10 +1,12 @@
-//! Which endpoint a request goes to.
+//! Selects the endpoint that an attempt of a request is sent to.
 //!
-//! Endpoints need less work for keys that they met lately, so a key should keep to few of them; but one
-//! endpoint alone would be overloaded by a hot key and lost with a crash. Weighted rendezvous hashing ranks
-//! the endpoints for each key, and the first two are its candidates. Of these the one with fewer requests
-//! of this node in flight is taken. If neither can be used, the usable endpoint with the fewest in flight
-//! is.
+//! An endpoint needs less work for keys that it has served recently, so the requests for one key should go
+//! to few endpoints. But a hot key would overload a single endpoint, and a crash of that endpoint would
+//! affect all requests for the key.
+//!
+//! Weighted rendezvous hashing ranks the endpoints for each key, and the two with the lowest ranks are the
+//! key's candidates. Of these, selection takes the one with fewer attempts of this node in flight. If
+//! neither candidate is usable, it takes the usable endpoint with the fewest attempts in flight.
 
 use super::class_statistics::ClassStatistics;
 use super::endpoint_set::{Endpoint, EndpointSet};
@@ -12,56 +14,63 @@
 use super::key_frequency::{KeyFrequencySketch, SPARSE_TRAFFIC_GUESS};
 use super::send_gate::SendGate;
 
-/// Utilization up to which the first candidate keeps its keys, however idle the second.
-const AT_EASE_UTILIZATION: f64 = 0.6;
-/// Odds that the less utilized of two candidates is taken, by unit of difference: certain from 0.4 on.
-const UTILIZATION_ODDS: f64 = 2.5;
-/// Keys that one with an endpoint's mean share of the traffic counts as, beyond the first.
-const PARTS_OF_HOT_KEY: f64 = 4.0;
-/// Fewer parts than this are one.
-const MIN_PARTS: f64 = 2.0;
+/// Utilization up to which the first candidate keeps its keys, no matter how low the utilization of the
+/// second is.
+const SWITCH_UTILIZATION_THRESHOLD: f64 = 0.6;
+/// Probability that the second candidate is taken, per unit by which its utilization is lower: it is taken
+/// with certainty from a difference of 0.4 on.
+const SWITCH_PROBABILITY_PER_UTILIZATION: f64 = 2.5;
+/// Number of additional subkeys that a key is split into if its share of the traffic is an endpoint's mean
+/// share; the number grows in proportion to the key's share.
+const SUBKEYS_PER_MEAN_SHARE: f64 = 4.0;
+/// A key is split only if the split results in at least this many subkeys.
+const MIN_SUBKEYS: f64 = 2.0;
 
-/// An endpoint in service in rendezvous hashing: small, since each request walks all of them.
+/// An endpoint in service in the placement table. The struct is small because each request iterates over the
+/// whole table.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RendezvousEntry {
+    /// The mixed id of the endpoint.
     pub endpoint_hash: u64,
+    /// The inverse of the endpoint's weight in the placement.
     pub inverse_weight: f64,
-    /// Where the endpoint stands in the set.
+    /// Index of the endpoint in the [`EndpointSet`].
     pub index: usize,
 }
 
 impl RendezvousEntry {
-    /// Its rank for a mixed key: the lowest is the first candidate.
+    /// Returns the endpoint's rank for a mixed key. The endpoint with the lowest rank is the first candidate.
     fn rank(&self, key: u64) -> f64 {
         let uniform = (mix(key ^ self.endpoint_hash) >> 11) as f64 / (1_u64 << 53) as f64;
         -(uniform.max(f64::MIN_POSITIVE)).ln() * self.inverse_weight
     }
 }
 
-/// What the choice for one request depends on.
+/// The inputs to selection for one attempt.
 #[derive(Debug)]
 pub(super) struct Selection<'a> {
     pub gate: SendGate<'a>,
     pub endpoints: &'a EndpointSet,
     pub classes: &'a [ClassStatistics],
     pub keys: &'a KeyFrequencySketch,
-    /// Attempts of this node in flight at all endpoints.
+    /// Attempts of this node that are in flight, over all endpoints.
     pub in_flight: u32,
-    /// Mean utilization that endpoints report; 0 where none does.
+    /// Mean utilization that the endpoints report, 0 to 1; 0 if no endpoint reports its load.
     pub fleet_utilization: f64,
+    /// This node has so small a part of the traffic that it has no attempt in flight at most endpoints.
     pub sees_sparse_traffic: bool,
 }
 
 impl Selection<'_> {
-    /// Where the endpoint for the request stands in the set; none if no endpoint can be used.
+    /// Returns the index of the selected endpoint in the [`EndpointSet`], or `None` if no endpoint is usable.
     pub fn select_endpoint(&self, rng: &mut fastrand::Rng) -> Option<usize> {
-        let draw = rng.f64();
+        let uniform_draw = rng.f64();
         let key = self.placement_key(rng);
         let [first, second] = self.candidates(key);
         let first = first.filter(|index| self.is_usable(*index));
         let second = second.filter(|index| self.is_usable(*index));
         match (first, second) {
-            (Some(first), Some(second)) if self.prefers_second_candidate(first, second, draw) => {
+            (Some(first), Some(second)) if self.prefers_second_candidate(first, second, uniform_draw) => {
                 Some(second)
             }
             (Some(candidate), _) | (None, Some(candidate)) => Some(candidate),
@@ -73,30 +82,33 @@
         self.gate.is_usable(&self.endpoints[index])
     }
 
-    /// The mixed key that the request is placed by; drawn by chance for a request without one.
+    /// Returns the mixed key by which the request is placed. A request without a key gets a random one.
     ///
-    /// A hot key, one with more than an endpoint's part of the traffic, counts as several keys: its two
-    /// candidates could not carry it, and nodes that each hold next to nothing in flight cannot see that.
+    /// A hot key is split at random into several subkeys, each with candidates of its own, because two
+    /// candidates could not carry its traffic. Nodes that have few attempts in flight cannot notice this from
+    /// the attempts in flight, so the split is largest for an idle node, and is not made if this node has an
+    /// attempt in flight for every second endpoint.
     fn placement_key(&self, rng: &mut fastrand::Rng) -> u64 {
         let key = self.gate.request.request.key.map_or_else(|| rng.u64(..), mix);
         let endpoints = self.endpoints.placement().len();
-        let idleness = (1.0 - 2.0 * f64::from(self.in_flight) / endpoints.max(1) as f64).max(0.0);
-        let guess = if self.sees_sparse_traffic { SPARSE_TRAFFIC_GUESS } else { 0.0 };
-        let share = self.keys.share(key, guess);
-        let parts = 1.0 + idleness * PARTS_OF_HOT_KEY * share * endpoints as f64;
-        if parts < MIN_PARTS { key } else { mix(key ^ rng.u64(..parts as u64)) }
+        let idle_factor = (1.0 - 2.0 * f64::from(self.in_flight) / endpoints.max(1) as f64).max(0.0);
+        let assumed_requests = if self.sees_sparse_traffic { SPARSE_TRAFFIC_GUESS } else { 0.0 };
+        let share = self.keys.share(key, assumed_requests);
+        let subkeys = 1.0 + idle_factor * SUBKEYS_PER_MEAN_SHARE * share * endpoints as f64;
+        if subkeys < MIN_SUBKEYS { key } else { mix(key ^ rng.u64(..subkeys as u64)) }
     }
 
-    /// The first two endpoints by rank, without those at which the request's class is an outlier.
+    /// Returns the indexes of the two endpoints with the lowest ranks, lowest first. Skips endpoints at which
+    /// the request's class is an outlier: there it fails far more often than at the other endpoints.
     fn candidates(&self, key: u64) -> [Option<usize>; 2] {
         let class = self.gate.request.request.class;
         let mut best: [Option<usize>; 2] = [None; 2];
         let mut ranks = [f64::INFINITY; 2];
-        for node in self.endpoints.placement() {
-            let rank = node.rank(key);
-            if rank < ranks[1] && !self.is_class_outlier(class, node.index) {
+        for entry in self.endpoints.placement() {
+            let rank = entry.rank(key);
+            if rank < ranks[1] && !self.is_class_outlier(class, entry.index) {
                 ranks[1] = rank;
-                best[1] = Some(node.index);
+                best[1] = Some(entry.index);
                 if rank < ranks[0] {
                     ranks.swap(0, 1);
                     best.swap(0, 1);
@@ -110,23 +122,27 @@
         self.endpoints[index].class_failures.is_outlier(self.gate.now_ms, class, self.classes)
     }
 
-    /// The usable endpoint with the fewest in flight, by rank among equals, so that these keys too keep to
-    /// few endpoints.
+    /// Returns the index of the usable endpoint with the fewest attempts of this node in flight. Ties are
+    /// broken by rank, so that a key keeps to few endpoints here too.
     fn least_loaded(&self, key: u64) -> Option<usize> {
-        let usable = self.endpoints.placement().iter().filter(|node| self.is_usable(node.index));
+        let usable = self.endpoints.placement().iter().filter(|entry| self.is_usable(entry.index));
         let by_load_and_rank = |a: &&RendezvousEntry, b: &&RendezvousEntry| {
-            let in_flight = |node: &RendezvousEntry| self.endpoints[node.index].in_flight;
+            let in_flight = |entry: &RendezvousEntry| self.endpoints[entry.index].in_flight;
             in_flight(a).cmp(&in_flight(b)).then(a.rank(key).total_cmp(&b.rank(key)))
         };
-        usable.min_by(by_load_and_rank).map(|node| node.index)
+        usable.min_by(by_load_and_rank).map(|entry| entry.index)
     }
 
-    /// Whether the second candidate is taken: it has fewer of this node's requests in flight or, where both
-    /// have as many, it is the less utilized by its reports. The odds grow with the difference, so that
-    /// nodes which got the same report do not all switch at once. With sparse traffic and no reports, where
-    /// both nearly always have none in flight, it is the one with fewer in flight on average: a key must
-    /// not load one endpoint alone.
-    fn prefers_second_candidate(&self, first: usize, second: usize, draw: f64) -> bool {
+    /// Returns whether the second candidate is taken instead of the first.
+    ///
+    /// It is taken if it has fewer attempts of this node in flight. If both have the same number, it may be
+    /// taken if its reported utilization is lower. The probability grows with the difference, so that nodes
+    /// that received the same report do not all switch at once.
+    ///
+    /// With sparse traffic nearly always neither candidate has an attempt in flight. If no endpoint reports
+    /// its load either, the candidate with the fewer attempts in flight on average is taken, so that a key
+    /// does not load only one endpoint.
+    fn prefers_second_candidate(&self, first: usize, second: usize, uniform_draw: f64) -> bool {
         let (first, second) = (&self.endpoints[first], &self.endpoints[second]);
         if first.in_flight != second.in_flight {
             return second.in_flight < first.in_flight;
@@ -137,6 +153,7 @@
         let utilization =
             |endpoint: &Endpoint| endpoint.utilization.at(self.gate.now_ms, self.fleet_utilization);
         let (first, second) = (utilization(first), utilization(second));
-        first > AT_EASE_UTILIZATION && draw < (first - second) * UTILIZATION_ODDS
+        first > SWITCH_UTILIZATION_THRESHOLD
+            && uniform_draw < (first - second) * SWITCH_PROBABILITY_PER_UTILIZATION
     }
 }
