--- a/src/policy/send_gate.rs
+++ b/src/policy/send_gate.rs
@@ -1,4 +1,8 @@
-//! What every attempt must satisfy, whatever selection wants.
+//! Checks the conditions that every attempt must meet.
+//!
+//! An attempt that breaks one of them may exceed a limit of the settings, reach an endpoint that is out of
+//! service, run a request twice, or overload an endpoint that has just restarted. Selection only considers
+//! endpoints that pass this gate.
 
 use super::endpoint_set::Endpoint;
 use super::pending_request::PendingRequest;
@@ -6,7 +10,7 @@
 use super::settings::Settings;
 use super::slow_start::SlowStartBudget;
 
-/// The gate that every attempt of a request passes.
+/// The checks for the attempts of one request at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendGate<'a> {
     pub now_ms: f64,
@@ -16,16 +20,20 @@
 }
 
 impl SendGate<'_> {
-    /// Whether an attempt may be sent to an endpoint: its client waits, attempts are left, the endpoint is
-    /// in service, a repeat does no harm there, and its slow start allows it.
+    /// Returns whether an attempt may be sent to an endpoint: the client still waits, the request has
+    /// attempts left, the endpoint is in service, the request may be repeated there if it may have run
+    /// before, and the endpoint's slow start leaves room for one more request.
     pub fn allows(&self, endpoint: &Endpoint) -> bool {
-        self.request_is_open()
+        self.request_allows_attempt()
             && endpoint.in_service
             && self.repeat_window_ms(endpoint) > 0.0
             && self.slow_start.allows_send(self.now_ms, &endpoint.slow_start, endpoint.served_per_second)
     }
 
-    fn request_is_open(&self) -> bool {
+    /// Returns whether the request may have another attempt, at any endpoint: it is not finished, its
+    /// deadline has not passed, its number of attempts is below the maximum and, if hedging is not allowed,
+    /// it has no attempt in flight.
+    fn request_allows_attempt(&self) -> bool {
         let request = self.request;
         !request.finished
             && self.now_ms < request.request.deadline_ms
@@ -33,20 +41,22 @@
             && (self.settings.hedging_allowed || !request.has_attempt_in_flight())
     }
 
-    /// For how long an attempt at an endpoint may still begin, in milliseconds.
+    /// Returns for how long an attempt at an endpoint may still begin, in milliseconds: infinite if the
+    /// request has not run yet or a repeat does no harm, 0 or less if it may not be repeated there.
     pub fn repeat_window_ms(&self, endpoint: &Endpoint) -> f64 {
         let class = self.settings.classes.get(self.request.request.class);
         repeat_window_ms(self.now_ms, self.request, class, endpoint.location)
     }
 
-    /// Whether selection may take an endpoint: the gate allows it, it is neither congested nor at its
-    /// concurrency limit, and this request has not tried it. A congested one that is due may take a trial,
-    /// which has to be a request that may be repeated.
+    /// Returns whether selection may take an endpoint: [`SendGate::allows`] permits an attempt, the endpoint
+    /// is neither congested nor at its concurrency limit, and the request has had no attempt there. A
+    /// congested endpoint whose trial is due is also usable, but only for a request that may be repeated;
+    /// the attempt is then the trial.
     pub fn is_usable(&self, endpoint: &Endpoint) -> bool {
-        let may_trial = endpoint.failures.is_trial_due(self.now_ms)
+        let may_be_trial = endpoint.failures.is_trial_due(self.now_ms)
             && self.settings.idempotency(self.request.request.class).allows_repeats();
         let was_tried = self.request.attempts.iter().any(|attempt| attempt.endpoint == endpoint.id);
-        (!endpoint.failures.is_congested() || may_trial)
+        (!endpoint.failures.is_congested() || may_be_trial)
             && !endpoint.limit.blocks(self.now_ms, endpoint.in_flight)
             && !was_tried
             && self.allows(endpoint)
