--- a/src/policy/connection_scarcity.rs
+++ b/src/policy/connection_scarcity.rs
@@ -1,32 +1,40 @@
-//! Gives idle connections back when endpoints accept no more.
+//! Detects that endpoints accept no more connections, so that the node closes its idle ones.
 //!
-//! An endpoint accepts so many connections, and with many nodes most of them are idle ones of nodes that
-//! seldom call. When attempts find no connection at large, idle connections are closed at all endpoints and
-//! none is kept for a while. That costs a handshake per request, so a few endpoints that are down must not
-//! bring it about.
+//! An endpoint accepts a limited number of connections. With many nodes, most of them are idle connections of
+//! nodes that seldom send a request.
+//!
+//! If a large share of the recent attempts at all endpoints could not get a connection, connections are
+//! scarce: the node closes its idle connections to all endpoints, and for some time it does not keep a
+//! connection that becomes idle. Each request then costs a handshake, so the threshold is high enough that a
+//! few endpoints that are down do not reach it.
 
 use super::event::AttemptOutcome;
 
-/// How far the share moves towards one outcome.
-const STEP: f64 = 0.02;
-/// Share of attempts without a connection from which connections are scarce.
-const SCARCE_SHARE: f64 = 0.15;
+/// Weight of one outcome in the moving average of the share of attempts without a connection.
+const OUTCOME_WEIGHT: f64 = 0.02;
+/// Connections are scarce if the share of attempts without a connection exceeds this.
+const SCARCE_UNCONNECTED_SHARE: f64 = 0.15;
 
-/// What the node knows of connections at large.
+/// The share of attempts without a connection, over all endpoints, and whether connections are scarce.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionScarcity {
-    /// Share of recent attempts that found no connection.
+    /// Share of recent attempts for which no connection could be made, 0 to 1; a moving average.
     unconnected_share: f64,
+    /// Until when connections count as scarce, in milliseconds on the balancer's clock; `None` if they never
+    /// were scarce.
     scarce_until_ms: Option<f64>,
 }
 
 impl ConnectionScarcity {
-    /// Takes in an outcome; `hold_ms` is for how long connections then count as scarce. True if they
-    /// have just become so: idle connections at all endpoints are to be closed.
+    /// Records the outcome of an attempt. If the share of attempts without a connection is then above the
+    /// threshold, connections count as scarce for the next `hold_ms` milliseconds.
+    ///
+    /// Returns whether connections have just become scarce: the caller must then close the idle connections
+    /// to all endpoints.
     pub fn record(&mut self, now_ms: f64, outcome: AttemptOutcome, hold_ms: f64) -> bool {
-        let failed = f64::from(u8::from(outcome == AttemptOutcome::ConnectFailed));
-        self.unconnected_share += STEP * (failed - self.unconnected_share);
-        if self.unconnected_share <= SCARCE_SHARE {
+        let unconnected = f64::from(u8::from(outcome == AttemptOutcome::ConnectFailed));
+        self.unconnected_share += OUTCOME_WEIGHT * (unconnected - self.unconnected_share);
+        if self.unconnected_share <= SCARCE_UNCONNECTED_SHARE {
             return false;
         }
         let was_scarce = self.is_scarce(now_ms);
@@ -34,8 +42,8 @@
         !was_scarce
     }
 
-    /// Whether a connection that carries nothing is to be closed.
+    /// Returns whether connections are scarce: the caller must close connections that become idle.
     pub fn is_scarce(&self, now_ms: f64) -> bool {
-        self.scarce_until_ms.is_some_and(|until| now_ms < until)
+        self.scarce_until_ms.is_some_and(|until_ms| now_ms < until_ms)
     }
 }
