--- a/src/policy/endpoint_set.rs
+++ b/src/policy/endpoint_set.rs
@@ -43,7 +43,8 @@
     pub in_service: bool,
     /// Attempts of this node that are in flight at the endpoint.
     pub in_flight: u32,
-    /// Total duration of the attempts of this node that ended here, in milliseconds, with exponential decay.
+    /// Total duration of the attempts of this node that ended at the endpoint, in milliseconds, with
+    /// exponential decay: a measure of the mean number of attempts in flight.
     pub recent_attempt_ms: f64,
     pub slow_start: SlowStart,
     /// Requests of this node that the endpoint answered within their latency objective, per second; an
@@ -349,8 +350,8 @@
         (endpoint_count > 0.0).then_some(total_per_second / endpoint_count)
     }
 
-    /// Refills the slow-start token buckets up to `now_ms`, and decays the recent figures of all endpoints by
-    /// the time since the last call, `seconds`.
+    /// Refills the slow-start token buckets up to `now_ms`, and decays the recent attempt time and the served
+    /// rate of all endpoints. `seconds` is the time since the last call.
     pub fn refill_and_decay(&mut self, now_ms: f64, seconds: f64, budget: &SlowStartBudget) {
         let attempt_ms_retained = (-seconds * 1000.0 / MEMORY_MS).exp();
         let served_retained = (-seconds).exp();
--- a/src/policy/failure_record.rs
+++ b/src/policy/failure_record.rs
@@ -189,9 +189,9 @@
     }
 }
 
-/// Returns the length up to which a run of failures is attributed to chance: the run continues after its
-/// first failure with a probability of at least [`RUN_PROBABILITY_THRESHOLD`] if each attempt fails with a
-/// probability of `fleet_failure_share`.
+/// Returns the length of the longest run of failures that is attributed to chance. If each attempt fails with
+/// a probability of `fleet_failure_share`, a first failure is followed by the rest of a run of this length
+/// with a probability of [`RUN_PROBABILITY_THRESHOLD`].
 fn longest_run_by_chance(fleet_failure_share: f64) -> f64 {
     let (min_share, max_share) = FLEET_FAILURE_SHARE_BOUNDS;
     1.0 + RUN_PROBABILITY_THRESHOLD.ln() / fleet_failure_share.clamp(min_share, max_share).ln()
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -30,9 +30,9 @@
 /// whole table.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RendezvousEntry {
-    /// The mixed id of the endpoint.
+    /// Hash of the endpoint's id, by [`mix`].
     pub endpoint_hash: u64,
-    /// The inverse of the endpoint's weight in the placement.
+    /// 1 divided by the endpoint's weight, which is lower during slow start and in other zones.
     pub inverse_weight: f64,
     /// Index of the endpoint in the [`EndpointSet`].
     pub index: usize,
@@ -82,12 +82,13 @@
         self.gate.is_usable(&self.endpoints[index])
     }
 
-    /// Returns the mixed key by which the request is placed. A request without a key gets a random one.
+    /// Returns the mixed key (see [`mix`]) by which the request is placed: a random one if the request has no
+    /// key.
     ///
-    /// A hot key is split at random into several subkeys, each with candidates of its own, because two
-    /// candidates could not carry its traffic. Nodes that have few attempts in flight cannot notice this from
-    /// the attempts in flight, so the split is largest for an idle node, and is not made if this node has an
-    /// attempt in flight for every second endpoint.
+    /// A hot key is split into several subkeys, each with candidates of its own, because two candidates
+    /// could not carry its traffic. A node notices an overloaded candidate by its own attempts in flight
+    /// there, but not if it has next to none in flight. So an idle node splits a key into the most subkeys; a
+    /// node whose attempts in flight number at least half of the endpoints does not split keys.
     fn placement_key(&self, rng: &mut fastrand::Rng) -> u64 {
         let key = self.gate.request.request.key.map_or_else(|| rng.u64(..), mix);
         let endpoints = self.endpoints.placement().len();
--- a/src/policy/send_gate.rs
+++ b/src/policy/send_gate.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns for how long an attempt at an endpoint may still begin, in milliseconds: infinite if the
-    /// request has not run yet or a repeat does no harm, 0 or less if it may not be repeated there.
+    /// request cannot have run yet or a repeat does no harm, 0 or less if it may not be repeated there.
     pub fn repeat_window_ms(&self, endpoint: &Endpoint) -> f64 {
         let class = self.settings.classes.get(self.request.request.class);
         repeat_window_ms(self.now_ms, self.request, class, endpoint.location)
