--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -152,7 +152,7 @@
     pub fn find_endpoint(&self, name: &str) -> Option<EndpointId> {
         let id = EndpointId(stable_hash(name));
         let core = self.core.borrow();
-        let is_disabled = core.balancer.disabled().any(|disabled| disabled == id);
+        let is_disabled = core.balancer.disabled_endpoints().any(|disabled| disabled == id);
         (is_disabled || core.endpoints.is_listed(id)).then_some(id)
     }
 
@@ -165,7 +165,7 @@
 
     /// The endpoints that the operators have out of service.
     pub fn disabled(&self) -> BTreeSet<EndpointId> {
-        self.core.borrow().balancer.disabled().collect()
+        self.core.borrow().balancer.disabled_endpoints().collect()
     }
 
     /// What the next process has to know of endpoints.
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -1,6 +1,6 @@
 //! The actions that a balancer orders its host to carry out.
 
-use super::decision_log::DecisionLog;
+use super::decision_log::DecisionLogEntry;
 use super::endpoint::EndpointId;
 use super::request::RequestId;
 
@@ -107,5 +107,5 @@
     /// Start or stop watching the endpoint list.
     SetWatch(bool),
     /// Write a line to the node's log.
-    Log(DecisionLog),
+    Log(DecisionLogEntry),
 }
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -4,7 +4,7 @@
 use super::admission::Admission;
 use super::class_statistics::ClassStatistics;
 use super::connection_scarcity::ConnectionScarcity;
-use super::decision_log::DecisionLog;
+use super::decision_log::DecisionLogEntry;
 use super::discovery_schedule::DiscoverySchedule;
 use super::endpoint::{EndpointId, EndpointSnapshot, EndpointUpdate};
 use super::endpoint_set::EndpointSet;
@@ -41,18 +41,18 @@
     pub(super) requests: HashMap<RequestId, PendingRequest>,
     /// By class, in the order of the settings.
     pub(super) classes: Vec<ClassStatistics>,
-    pub(super) keys: KeyFrequencySketch,
+    pub(super) key_frequencies: KeyFrequencySketch,
     pub(super) admission: Admission,
     pub(super) retry_budget: RetryBudget,
     pub(super) slow_start: SlowStartBudget,
-    pub(super) utilization: FleetUtilization,
-    pub(super) connections: ConnectionScarcity,
+    pub(super) fleet_utilization: FleetUtilization,
+    pub(super) connection_scarcity: ConnectionScarcity,
     /// Share of recent attempts, over all endpoints, that failed.
     pub(super) fleet_failure_share: f64,
     /// Attempts in flight.
     pub(super) in_flight: u32,
     pub(super) rejection_log: RejectionLog,
-    discovery: DiscoverySchedule,
+    discovery_schedule: DiscoverySchedule,
     /// When housekeeping last ran, in milliseconds on the balancer's clock.
     housekeeping_at_ms: f64,
 }
@@ -71,16 +71,16 @@
             endpoints: EndpointSet::new(&settings),
             requests: HashMap::new(),
             classes: vec![ClassStatistics::default(); settings.classes.len()],
-            keys: KeyFrequencySketch::new(),
+            key_frequencies: KeyFrequencySketch::new(),
             admission: Admission::new(settings.classes.len()),
             retry_budget: RetryBudget::new(),
             slow_start: SlowStartBudget::new(&settings, &tuning),
-            utilization: FleetUtilization::default(),
-            connections: ConnectionScarcity::default(),
+            fleet_utilization: FleetUtilization::default(),
+            connection_scarcity: ConnectionScarcity::default(),
             fleet_failure_share: 0.0,
             in_flight: 0,
             rejection_log: RejectionLog::default(),
-            discovery: DiscoverySchedule::default(),
+            discovery_schedule: DiscoverySchedule::default(),
             housekeeping_at_ms: 0.0,
             settings,
         })
@@ -143,11 +143,11 @@
     ) {
         if update == WatchUpdate::Failure {
             let longest_ms = self.settings.max_poll_interval_ms;
-            let pause_ms = self.discovery.failed(&self.tuning, longest_ms, &mut self.rng);
+            let pause_ms = self.discovery_schedule.failed(&self.tuning, longest_ms, &mut self.rng);
             actions.push(Action::Timer { token: POLL_TIMER, at_ms: now_ms + pause_ms });
             return;
         }
-        self.discovery.succeeded();
+        self.discovery_schedule.succeeded();
         if update == WatchUpdate::CachedSnapshot && self.settings.discovery == DiscoveryMode::Poll {
             let has_endpoints = !endpoints.is_empty();
             let wait_ms = DiscoverySchedule::first_poll_in_ms(has_endpoints, &self.tuning, &mut self.rng);
@@ -164,7 +164,7 @@
         let warm_rate = self.endpoints.mean_warm_rate(now_ms, &self.slow_start);
         self.slow_start.observe_warm_rate(warm_rate);
         self.endpoints.decay(now_ms, seconds, &self.slow_start);
-        self.keys.decay(seconds);
+        self.key_frequencies.decay(seconds);
         self.endpoints.rebuild_placement(now_ms, &self.slow_start);
         let blocked_share = self.endpoints.blocked_share(now_ms);
         let fleet = self.fleet_view();
@@ -177,7 +177,7 @@
     fn log_rejections(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         let Some(counts) = self.rejection_log.take_due(now_ms) else { return };
         let live = self.endpoints.in_service().filter(|endpoint| !endpoint.failures.is_congested());
-        actions.push(Action::Log(DecisionLog::RequestsRejected {
+        actions.push(Action::Log(DecisionLogEntry::RequestsRejected {
             counts,
             live_endpoints: live.count(),
             endpoints: self.endpoints.placement().len(),
@@ -192,7 +192,7 @@
     }
 
     /// The endpoints that the operators have out of service.
-    pub fn disabled(&self) -> impl Iterator<Item = EndpointId> {
+    pub fn disabled_endpoints(&self) -> impl Iterator<Item = EndpointId> {
         self.endpoints.disabled()
     }
 
--- a/src/policy/decision_log.rs
+++ b/src/policy/decision_log.rs
@@ -5,7 +5,7 @@
 
 /// A line of the log on a decision. The texts are quoted by the operators' pages and stay as they are.
 #[derive(Clone, Debug, PartialEq)]
-pub enum DecisionLog {
+pub enum DecisionLogEntry {
     /// An endpoint is congested.
     EndpointCongested {
         /// Which endpoint.
@@ -56,22 +56,22 @@
     pub no_usable_endpoint: u32,
 }
 
-impl Display for DecisionLog {
+impl Display for DecisionLogEntry {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            DecisionLog::EndpointCongested { endpoint, failures, attempts, trial_in_ms } => write!(
+            DecisionLogEntry::EndpointCongested { endpoint, failures, attempts, trial_in_ms } => write!(
                 f,
                 "congested {:016x}: {failures} failures of {attempts}, trial in {trial_in_ms:.0} ms",
                 endpoint.0
             ),
-            DecisionLog::EndpointLive { endpoint, failed_trials, slow_start } => {
+            DecisionLogEntry::EndpointLive { endpoint, failed_trials, slow_start } => {
                 let cold = if *slow_start { ", held for cold" } else { "" };
                 write!(f, "live {:016x}: trial answered after {failed_trials} failed{cold}", endpoint.0)
             }
-            DecisionLog::ConnectionsScarce => {
+            DecisionLogEntry::ConnectionsScarce => {
                 f.write_str("connections are scarce: idle ones are given back")
             }
-            DecisionLog::RequestsRejected {
+            DecisionLogEntry::RequestsRejected {
                 counts,
                 live_endpoints,
                 endpoints,
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -123,7 +123,7 @@
 
     /// Whether the end concerns its endpoint alone and says nothing of the load of the fleet: the endpoint
     /// is full or cannot be reached, and the request goes elsewhere.
-    pub(super) fn concerns_endpoint_alone(self) -> bool {
+    pub(super) fn is_specific_to_endpoint(self) -> bool {
         self == AttemptOutcome::Rejected || self.is_connection_failure()
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -60,7 +60,7 @@
 
 pub use action::{Action, RejectionReason};
 pub use balancer::Balancer;
-pub use decision_log::{DecisionLog, RejectionCounts};
+pub use decision_log::{DecisionLogEntry, RejectionCounts};
 pub use endpoint::{EndpointId, EndpointSnapshot, EndpointState, EndpointUpdate, Location};
 pub use event::{AttemptOutcome, Event, FaultSource, WatchUpdate};
 pub use load_report::LoadReport;
--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -7,7 +7,7 @@
 use super::action::Action;
 use super::balancer::Balancer;
 use super::concurrency_limit::{LoadSample, TARGET_OVERLOAD, limit_floor};
-use super::decision_log::DecisionLog;
+use super::decision_log::DecisionLogEntry;
 use super::endpoint::EndpointId;
 use super::event::AttemptOutcome;
 use super::load_report::LoadReport;
@@ -81,22 +81,22 @@
             return;
         }
         let hold_ms = self.settings.idle_connection_timeout_ms;
-        if self.connections.record(now_ms, ended.outcome, hold_ms) {
-            actions.push(Action::Log(DecisionLog::ConnectionsScarce));
+        if self.connection_scarcity.record(now_ms, ended.outcome, hold_ms) {
+            actions.push(Action::Log(DecisionLogEntry::ConnectionsScarce));
             let idle = self.endpoints.iter().filter(|endpoint| endpoint.in_flight == 0);
             actions.extend(idle.map(|endpoint| Action::CloseIdleConnections(endpoint.id)));
         }
         let endpoint = &self.endpoints[index];
-        if self.connections.is_scarce(now_ms) && endpoint.in_flight == 0 {
+        if self.connection_scarcity.is_scarce(now_ms) && endpoint.in_flight == 0 {
             actions.push(Action::CloseIdleConnections(endpoint.id));
         }
     }
 
     fn learn_utilization(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt, load: &LoadReport) {
         let objective_ms = self.settings.latency_objective_ms(ended.class);
-        if let Some(observed) = self.utilization.observed(ended.outcome, load, objective_ms) {
+        if let Some(observed) = self.fleet_utilization.observed(ended.outcome, load, objective_ms) {
             let endpoint = &mut self.endpoints[index];
-            self.utilization.record(now_ms, &mut endpoint.utilization, observed);
+            self.fleet_utilization.record(now_ms, &mut endpoint.utilization, observed);
         }
     }
 
@@ -121,7 +121,7 @@
         if recovery.was_unreachable {
             endpoint.begin_slow_start(now_ms, &mut self.rng);
         }
-        actions.push(Action::Log(DecisionLog::EndpointLive {
+        actions.push(Action::Log(DecisionLogEntry::EndpointLive {
             endpoint: endpoint.id,
             failed_trials: recovery.failed_trials,
             slow_start: recovery.was_unreachable,
@@ -209,7 +209,7 @@
     /// whole fleet suffers is left to admission.
     fn learn_overload(&mut self, now_ms: f64, index: usize, ended: &EndedAttempt, overload: f64) {
         let endpoint = &mut self.endpoints[index];
-        if !ended.outcome.concerns_endpoint_alone() && !endpoint.failures.is_congested() {
+        if !ended.outcome.is_specific_to_endpoint() && !endpoint.failures.is_congested() {
             self.admission.record_outcome(ended.weight, overload);
         }
         if ended.outcome == AttemptOutcome::ConnectionReset {
@@ -250,7 +250,7 @@
         let pause_ms = self.tuning.trial_pause_ms(0, &mut self.rng);
         endpoint.failures.trip(now_ms + pause_ms);
         let totals = endpoint.failures.totals();
-        actions.push(Action::Log(DecisionLog::EndpointCongested {
+        actions.push(Action::Log(DecisionLogEntry::EndpointCongested {
             endpoint: endpoint.id,
             failures: totals.failures,
             attempts: totals.attempts,
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -57,7 +57,7 @@
         let fleet = self.fleet_view();
         let admitted = self.admission.decide(candidate, fleet, &self.settings, &mut self.rng);
         if let Some(key) = request.key {
-            self.keys.record(mix(key));
+            self.key_frequencies.record(mix(key));
         }
         self.retry_budget.deposit();
         let id = request.id;
@@ -120,7 +120,7 @@
         FleetView {
             in_flight: self.in_flight,
             endpoints: self.endpoints.placement().len(),
-            utilization: self.utilization.mean(),
+            utilization: self.fleet_utilization.mean(),
         }
     }
 
@@ -133,9 +133,9 @@
             gate,
             endpoints: &self.endpoints,
             classes: &self.classes,
-            keys: &self.keys,
+            keys: &self.key_frequencies,
             in_flight: self.in_flight,
-            fleet_utilization: self.utilization.mean(),
+            fleet_utilization: self.fleet_utilization.mean(),
             sees_sparse_traffic: self.tuning.sees_sparse_traffic,
         };
         let Some(index) = selection.select_endpoint(&mut self.rng) else {
