--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -14,7 +14,7 @@
 use super::pending_request::PendingRequest;
 use super::rejection_log::RejectionLog;
 use super::request::RequestId;
-use super::request_lifecycle::ReportedEnd;
+use super::request_lifecycle::AttemptReport;
 use super::retry::RetryBudget;
 use super::settings::{DiscoveryMode, Settings, SettingsError};
 use super::slow_start::SlowStartBudget;
@@ -98,12 +98,12 @@
             Event::RequestBodyComplete(id) => self.on_body_complete(now_ms, id),
             Event::ResponseStarted { id, attempt, elapsed_ms, .. } => {
                 let outcome = AttemptOutcome::Answered;
-                let end = ReportedEnd { id, attempt, outcome, request_finished: true, elapsed_ms };
-                self.on_attempt_ended(now_ms, end, &LoadReport::default(), actions);
+                let report = AttemptReport { id, attempt, outcome, request_finished: true, elapsed_ms };
+                self.on_attempt_ended(now_ms, report, &LoadReport::default(), actions);
             }
             Event::AttemptEnded { id, attempt, outcome, request_finished, elapsed_ms, load, .. } => {
-                let end = ReportedEnd { id, attempt, outcome, request_finished, elapsed_ms };
-                self.on_attempt_ended(now_ms, end, &load, actions);
+                let report = AttemptReport { id, attempt, outcome, request_finished, elapsed_ms };
+                self.on_attempt_ended(now_ms, report, &load, actions);
             }
             Event::ClientDisconnected(id) => self.on_client_disconnected(id, actions),
             Event::Timer(HOUSEKEEPING_TIMER) => self.on_housekeeping(now_ms, actions),
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -1,7 +1,8 @@
-//! The life of a request: arrival, attempts, their ends, and the final answer.
+//! Handles a request from its arrival through its attempts to the final answer.
 //!
-//! Every attempt passes the [`SendGate`], every rejection [`Balancer::reject_or_fail`]: these two enforce
-//! the rules that must hold whatever the other modules decide.
+//! Some rules must hold regardless of the decisions in other modules: an attempt must not go where it could
+//! do harm, and a client must not be told to retry a request that may have run and must not run twice. So
+//! every attempt passes [`SendGate`], and every rejection passes [`Balancer::reject_or_fail`].
 
 use super::action::{Action, RejectionReason};
 use super::admission::{Candidate, FleetView, Freshness};
@@ -17,24 +18,32 @@
 use super::selection::Selection;
 use super::send_gate::SendGate;
 
-/// Answers after the objective are waited for while admission lets in more than this part of the work.
-const LATE_ANSWERS_ADMISSION_LEVEL: f64 = 0.95;
-/// The objective is taken for no less than this, in milliseconds, where a retry-after time is computed.
+/// An attempt may wait for an answer past the latency objective only while the admission level, the share of
+/// the offered work that is admitted, is above this value.
+const MIN_ADMISSION_LEVEL_FOR_LATE_ANSWERS: f64 = 0.95;
+/// Lower bound, in milliseconds, of the remaining latency objective that a retry-after time is computed
+/// from.
 const MIN_OBJECTIVE_MS: f64 = 1.0;
 
-/// How an attempt ended, as the host reports it.
+/// The host's report on the end of one attempt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ReportedEnd {
+pub(super) struct AttemptReport {
     pub id: RequestId,
+    /// Index of the attempt among the attempts of its request, from 0.
     pub attempt: u32,
     pub outcome: AttemptOutcome,
+    /// The client has its final answer, so the request must not be retried.
     pub request_finished: bool,
+    /// Time since the attempt was sent, in milliseconds. The host's value may not be finite.
     pub elapsed_ms: f64,
 }
 
-/// The settings of a request's class. For an unknown class the client's deadline stands in.
+/// The class settings that apply to one request.
+///
+/// A request of an unknown class gets a weight of 1, no value for late answers, and the time until its
+/// client's deadline as both the latency objective and the deadline.
 #[derive(Clone, Copy, Debug)]
-struct ClassTerms {
+struct EffectiveClass {
     objective_ms: f64,
     deadline_ms: f64,
     weight: f64,
@@ -42,20 +51,20 @@
 }
 
 impl Balancer {
-    /// A request came.
+    /// Admits a new request and sends its first attempt, or rejects it.
     pub(super) fn on_request(&mut self, now_ms: f64, request: Request, actions: &mut Vec<Action>) {
         let wait_ms = (request.deadline_ms - now_ms).max(0.0);
-        let terms = self.class_terms(&request, wait_ms);
-        let age_ms = self.client_age_ms(&request, wait_ms, &terms);
-        let freshness = if age_ms >= terms.objective_ms { Freshness::TooOld } else { Freshness::InTime };
+        let class = self.effective_class(&request, wait_ms);
+        let age_ms = self.client_age_ms(&request, wait_ms, &class);
+        let freshness = if age_ms >= class.objective_ms { Freshness::TooOld } else { Freshness::InTime };
         let weight = match freshness {
-            Freshness::InTime => terms.weight,
-            Freshness::TooOld => terms.weight * terms.late_weight_factor,
+            Freshness::InTime => class.weight,
+            Freshness::TooOld => class.weight * class.late_weight_factor,
         };
         let candidate =
             Candidate { class: request.class, freshness, cost_ms: self.cost_ms(&request), weight };
         let fleet = self.fleet_view();
-        let admitted = self.admission.decide(candidate, fleet, &self.settings, &mut self.rng);
+        let decision = self.admission.decide(candidate, fleet, &self.settings, &mut self.rng);
         if let Some(key) = request.key {
             self.key_frequencies.record(mix(key));
         }
@@ -64,27 +73,28 @@
         let pending = PendingRequest {
             request,
             arrived_at_ms: now_ms,
-            objective_at_ms: now_ms + (terms.objective_ms - age_ms).max(0.0),
+            objective_at_ms: now_ms + (class.objective_ms - age_ms).max(0.0),
             weight,
             finished: false,
             attempts: Vec::new(),
         };
         self.requests.insert(id, pending);
-        match admitted {
+        match decision {
             Ok(()) => self.send_attempt(now_ms, id, actions),
             Err(reason) => self.reject_or_fail(now_ms, id, reason, actions),
         }
     }
 
-    fn class_terms(&self, request: &Request, wait_ms: f64) -> ClassTerms {
+    /// Returns the class settings for a request whose client waits for another `wait_ms`.
+    fn effective_class(&self, request: &Request, wait_ms: f64) -> EffectiveClass {
         match self.settings.classes.get(request.class) {
-            Some(class) => ClassTerms {
+            Some(class) => EffectiveClass {
                 objective_ms: class.latency_objective_ms,
                 deadline_ms: class.deadline_ms,
                 weight: class.priority_weight,
                 late_weight_factor: class.late_weight_factor,
             },
-            None => ClassTerms {
+            None => EffectiveClass {
                 objective_ms: wait_ms,
                 deadline_ms: wait_ms,
                 weight: 1.0,
@@ -93,29 +103,31 @@
         }
     }
 
-    /// Time that the client has spent on earlier tries, in milliseconds.
+    /// Estimates the time that the client has spent on earlier tries, in milliseconds.
     ///
-    /// A client with a short deadline looks like one at its last try. Where a late answer keeps some value,
-    /// the client is believed.
-    fn client_age_ms(&mut self, request: &Request, wait_ms: f64, terms: &ClassTerms) -> f64 {
-        let Some(class) = self.classes.get_mut(request.class) else { return 0.0 };
+    /// The estimate infers the time from the remaining deadline, so a first try with a short deadline can
+    /// look like a late retry. If the class values late answers, the request is taken for a first try
+    /// (age 0).
+    fn client_age_ms(&mut self, request: &Request, wait_ms: f64, class: &EffectiveClass) -> f64 {
+        let Some(statistics) = self.classes.get_mut(request.class) else { return 0.0 };
         let is_retry = self.settings.clients_mark_retries.then_some(request.is_retry);
-        let age_ms = if terms.late_weight_factor > 0.0 {
+        let age_ms = if class.late_weight_factor > 0.0 {
             0.0
         } else {
-            class.estimate_client_age_ms(wait_ms + request.queued_ms, terms.deadline_ms, is_retry)
+            statistics.estimate_client_age_ms(wait_ms + request.queued_ms, class.deadline_ms, is_retry)
         };
-        class.record_request(age_ms <= 0.0);
+        statistics.record_request(age_ms <= 0.0);
         age_ms
     }
 
-    /// The work of a request, in milliseconds: its client's estimate, or else the mean of its class.
+    /// Returns the work of a request, in milliseconds: the client's estimate if it is finite and positive,
+    /// otherwise the mean of the request's class.
     fn cost_ms(&self, request: &Request) -> f64 {
-        let usual = self.classes.get(request.class).map_or(1.0, |class| class.mean_ms());
-        request.estimated_cost_ms.filter(|cost| cost.is_finite() && *cost > 0.0).unwrap_or(usual)
+        let class_mean_ms = self.classes.get(request.class).map_or(1.0, |class| class.mean_ms());
+        request.estimated_cost_ms.filter(|cost| cost.is_finite() && *cost > 0.0).unwrap_or(class_mean_ms)
     }
 
-    /// What admission sees of the node and the fleet.
+    /// Returns the load figures of the node and the fleet that admission decides by.
     pub(super) fn fleet_view(&self) -> FleetView {
         FleetView {
             in_flight: self.in_flight,
@@ -124,7 +136,8 @@
         }
     }
 
-    /// Sends an attempt, or answers where there is no endpoint to send it to.
+    /// Sends the next attempt of a request. Rejects or fails the request if no endpoint is usable, or if too
+    /// little time is left for an attempt.
     fn send_attempt(&mut self, now_ms: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let gate =
@@ -157,7 +170,7 @@
         actions.push(Action::SendAttempt { id, endpoint, timeout_ms, begin_within_ms });
     }
 
-    /// How long an attempt at an endpoint is waited for, in milliseconds.
+    /// Returns the timeout of an attempt at the endpoint at `index`, in milliseconds.
     fn attempt_timeout_ms(&self, now_ms: f64, pending: &PendingRequest, index: usize) -> f64 {
         let class = self.settings.classes.get(pending.request.class);
         let keeps_value_when_late = class.is_some_and(|class| class.late_weight_factor > 0.0);
@@ -165,9 +178,9 @@
         let timeout = AttemptTimeout {
             now_ms,
             request: pending,
-            late_answers_wanted: keeps_value_when_late
-                && self.admission.level() > LATE_ANSWERS_ADMISSION_LEVEL,
-            may_be_short: self.endpoints[index].failures.is_in_doubt()
+            extends_past_objective: keeps_value_when_late
+                && self.admission.level() > MIN_ADMISSION_LEVEL_FOR_LATE_ANSWERS,
+            allows_short_timeout: self.endpoints[index].failures.is_in_doubt()
                 && allows_repeats
                 && self.retry_budget.affords_repeat(),
             statistics: self.classes.get(pending.request.class),
@@ -176,7 +189,8 @@
         timeout.timeout_ms()
     }
 
-    /// Counts an attempt that is about to be sent.
+    /// Registers an attempt that is about to be sent: takes a slow-start token of the endpoint, counts the
+    /// attempt as in flight, and marks it as a trial if the endpoint is congested.
     fn begin_attempt(&mut self, now_ms: f64, index: usize, timeout_ms: f64) -> Attempt {
         let endpoint = &mut self.endpoints[index];
         let tokens = self.slow_start.tokens(now_ms, &endpoint.slow_start, endpoint.served_per_second);
@@ -194,8 +208,11 @@
         }
     }
 
-    /// Ends a request that no endpoint answered: rejects it if trying again does no harm, fails it
-    /// otherwise. Every rejection and failure is decided here.
+    /// Ends a request that no endpoint has answered, unless an attempt is still in flight. Rejects it if a
+    /// retry by the client does no harm, because no attempt can have run or the request may run twice, and
+    /// fails it otherwise.
+    ///
+    /// No other function rejects or fails a request.
     fn reject_or_fail(
         &mut self,
         now_ms: f64,
@@ -204,33 +221,35 @@
         actions: &mut Vec<Action>,
     ) {
         self.rejection_log.record(reason);
-        let is_open = |pending: &&PendingRequest| !pending.finished && !pending.has_attempt_in_flight();
-        let Some(pending) = self.requests.get(&id).filter(is_open) else { return };
+        let is_unanswered =
+            |pending: &&PendingRequest| !pending.finished && !pending.has_attempt_in_flight();
+        let Some(pending) = self.requests.get(&id).filter(is_unanswered) else { return };
         let idempotency = self.settings.idempotency(pending.request.class);
-        let is_harmless = pending.never_ran() || idempotency.is_harmless_anywhere();
+        let client_may_retry = pending.never_ran() || idempotency.is_harmless_anywhere();
         let objective_ms = (pending.objective_at_ms - pending.arrived_at_ms).max(MIN_OBJECTIVE_MS);
         self.requests.remove(&id);
-        if !is_harmless {
+        if !client_may_retry {
             actions.push(Action::Fail { id, reason });
             return;
         }
         let retry_after_ms = if self.settings.retry_after {
-            let longest_ms = self.settings.max_retry_after_ms;
-            retry_after_ms(now_ms, objective_ms, longest_ms, &self.endpoints, &mut self.rng)
+            let max_retry_after_ms = self.settings.max_retry_after_ms;
+            retry_after_ms(now_ms, objective_ms, max_retry_after_ms, &self.endpoints, &mut self.rng)
         } else {
             0.0
         };
         actions.push(Action::Reject { id, retry_after_ms, reason });
     }
 
-    /// The last byte of a request's body has come.
+    /// Shifts the times of a request whose body is complete only now, some time after its head.
     pub(super) fn on_body_complete(&mut self, now_ms: f64, id: RequestId) {
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.shift_to(now_ms);
         }
     }
 
-    /// A client has gone.
+    /// Finishes the request of a client that has disconnected, and cancels its attempts in flight if the
+    /// settings allow cancellation.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         pending.finished = true;
@@ -243,40 +262,43 @@
         }
     }
 
-    /// An attempt is over.
+    /// Handles the end of an attempt: updates the estimates that its outcome feeds, then retries or finishes
+    /// its request. Ignores a report on an attempt that is not in flight.
     pub(super) fn on_attempt_ended(
         &mut self,
         now_ms: f64,
-        end: ReportedEnd,
+        report: AttemptReport,
         load: &LoadReport,
         actions: &mut Vec<Action>,
     ) {
-        let Some(ended) = self.close_attempt(now_ms, &end) else { return };
+        let Some(ended) = self.close_attempt(now_ms, &report) else { return };
         self.learn_from_attempt(now_ms, &ended, load, actions);
         if ended.in_objective
             && let Some(class) = self.classes.get_mut(ended.class)
         {
             class.record_served();
         }
-        self.retry_or_finish(now_ms, end, actions);
+        self.retry_or_finish(now_ms, report, actions);
     }
 
-    /// Marks an attempt as ended, and says what is learned from it; none where it was not in flight.
-    fn close_attempt(&mut self, now_ms: f64, end: &ReportedEnd) -> Option<EndedAttempt> {
-        let pending = self.requests.get_mut(&end.id)?;
-        let attempt = pending.attempts.get_mut(end.attempt as usize).filter(|attempt| attempt.in_flight)?;
+    /// Marks an attempt as ended, and returns the facts that the estimates are updated from. Returns `None`
+    /// if the attempt is not in flight.
+    fn close_attempt(&mut self, now_ms: f64, report: &AttemptReport) -> Option<EndedAttempt> {
+        let pending = self.requests.get_mut(&report.id)?;
+        let attempt = pending.attempts.get_mut(report.attempt as usize);
+        let attempt = attempt.filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
-        attempt.never_ran = end.outcome.proves_not_executed();
+        attempt.never_ran = report.outcome.proves_not_executed();
         self.in_flight = self.in_flight.saturating_sub(1);
-        pending.finished |= end.request_finished;
-        // A time that is no number must not spoil what is learned.
+        pending.finished |= report.request_finished;
+        // A duration that is not finite would make the estimates useless for good.
         let since_sent_ms = now_ms - attempt.sent_at_ms;
-        let elapsed_ms = if end.elapsed_ms.is_finite() { end.elapsed_ms } else { since_sent_ms };
-        let is_answered = end.outcome == AttemptOutcome::Answered;
+        let elapsed_ms = if report.elapsed_ms.is_finite() { report.elapsed_ms } else { since_sent_ms };
+        let is_answered = report.outcome == AttemptOutcome::Answered;
         Some(EndedAttempt {
             endpoint: attempt.endpoint,
             class: pending.request.class,
-            outcome: end.outcome,
+            outcome: report.outcome,
             is_trial: attempt.is_trial,
             in_objective: is_answered && now_ms <= pending.objective_at_ms,
             elapsed_ms: elapsed_ms.max(0.0),
@@ -286,31 +308,33 @@
         })
     }
 
-    /// After the end of an attempt: the request is finished, retried, or given up.
+    /// Finishes, retries, rejects or fails a request after one of its attempts has ended.
     ///
-    /// A request that may have run and must not run twice is given up before the retry budget and selection
-    /// see it: it would use up budget, and count as a fleet with no usable endpoint.
-    fn retry_or_finish(&mut self, now_ms: f64, end: ReportedEnd, actions: &mut Vec<Action>) {
-        let Some(pending) = self.requests.get(&end.id).filter(|pending| !pending.has_attempt_in_flight())
+    /// The check for a request that may have run and must not run twice comes before the retry budget and
+    /// endpoint selection. Otherwise such a request would use up budget, and selection would count it as one
+    /// that found no usable endpoint in the fleet.
+    fn retry_or_finish(&mut self, now_ms: f64, report: AttemptReport, actions: &mut Vec<Action>) {
+        let id = report.id;
+        let Some(pending) = self.requests.get(&id).filter(|pending| !pending.has_attempt_in_flight())
         else {
             return;
         };
         if pending.finished {
-            self.requests.remove(&end.id);
+            self.requests.remove(&id);
             return;
         }
-        let may_repeat =
+        let may_run_again =
             self.settings.idempotency(pending.request.class).allows_repeats() || pending.never_ran();
-        let in_time = now_ms < pending.objective_at_ms;
-        let cost = RetryBudget::cost(end.outcome);
-        let was_sent = end.outcome != AttemptOutcome::NotSent;
-        if !may_repeat {
-            self.reject_or_fail(now_ms, end.id, RejectionReason::NotRetryable, actions);
-        } else if was_sent && in_time && self.retry_budget.affords(cost) {
+        let is_before_objective = now_ms < pending.objective_at_ms;
+        let cost = RetryBudget::cost(report.outcome);
+        let was_sent = report.outcome != AttemptOutcome::NotSent;
+        if !may_run_again {
+            self.reject_or_fail(now_ms, id, RejectionReason::NotRetryable, actions);
+        } else if was_sent && is_before_objective && self.retry_budget.affords(cost) {
             self.retry_budget.withdraw(cost);
-            self.send_attempt(now_ms, end.id, actions);
+            self.send_attempt(now_ms, id, actions);
         } else {
-            self.reject_or_fail(now_ms, end.id, RejectionReason::RetryBudgetExhausted, actions);
+            self.reject_or_fail(now_ms, id, RejectionReason::RetryBudgetExhausted, actions);
         }
     }
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -87,9 +87,9 @@
     pub now_ms: f64,
     pub request: &'a PendingRequest,
     /// An answer after the objective keeps part of its value, and admission sheds next to nothing.
-    pub late_answers_wanted: bool,
+    pub extends_past_objective: bool,
     /// The endpoint has failed lately, and a repeat is allowed and can be afforded.
-    pub may_be_short: bool,
+    pub allows_short_timeout: bool,
     pub statistics: Option<&'a ClassStatistics>,
     pub batch_interval_ms: f64,
 }
@@ -99,10 +99,10 @@
     /// suspect, so that a silent one costs little.
     pub fn timeout_ms(&self) -> f64 {
         let deadline_ms = self.request.request.deadline_ms;
-        let end_ms = if self.late_answers_wanted { deadline_ms } else { self.request.objective_at_ms };
+        let end_ms = if self.extends_past_objective { deadline_ms } else { self.request.objective_at_ms };
         let timeout_ms = end_ms.min(deadline_ms) - self.now_ms;
         match self.statistics.and_then(ClassStatistics::short_timeout_ms) {
-            Some(short_ms) if self.may_be_short => {
+            Some(short_ms) if self.allows_short_timeout => {
                 timeout_ms.min(short_ms.max(MIN_TIMEOUT_BATCHES * self.batch_interval_ms))
             }
             _ => timeout_ms,
