--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -1,4 +1,7 @@
-//! The balancer: its parts, and which of them an event goes to.
+//! Passes each event to the parts of the balancer that handle it, and runs the periodic housekeeping.
+//!
+//! The rules themselves are in the modules that the module documentation of `policy` lists. Requests and
+//! attempts are handled in `request_lifecycle`, and the estimates that attempts feed in `outcome_feedback`.
 
 use super::action::Action;
 use super::admission::Admission;
@@ -21,17 +24,19 @@
 use super::tuning::Tuning;
 use std::collections::HashMap;
 
-/// Token of the timer for housekeeping.
+/// Token of the timer that starts the next run of housekeeping.
 const HOUSEKEEPING_TIMER: u64 = 1;
-/// Token of the timer for the next poll of discovery.
-const POLL_TIMER: u64 = 2;
-/// Time between two runs of housekeeping is taken for no less than this, in seconds.
+/// Token of the timer that starts the next poll of discovery.
+const DISCOVERY_POLL_TIMER: u64 = 2;
+/// Lower bound of the time between two runs of housekeeping that estimates are updated by, in seconds.
 const MIN_HOUSEKEEPING_SECONDS: f64 = 1e-3;
-/// One run of housekeeping moves admission by no more than this time, in seconds: after a stall of the node
-/// itself it must not open or shut at once.
+/// Upper bound of the time that one run of housekeeping updates admission and the class statistics by, in
+/// seconds. Without it, the admission level could jump to either end after a stall of this node.
 const MAX_ADMISSION_STEP_SECONDS: f64 = 1.0;
 
-/// The decisions of one node: takes events, answers with actions. The crate's page has an example.
+/// A state machine that makes the load-balancing decisions of one node: it takes events and returns actions.
+///
+/// The crate documentation has an example.
 #[derive(Debug)]
 pub struct Balancer {
     pub(super) settings: Settings,
@@ -39,7 +44,7 @@
     pub(super) rng: fastrand::Rng,
     pub(super) endpoints: EndpointSet,
     pub(super) requests: HashMap<RequestId, PendingRequest>,
-    /// By class, in the order of the settings.
+    /// One entry for each class, in the order of the settings.
     pub(super) classes: Vec<ClassStatistics>,
     pub(super) key_frequencies: KeyFrequencySketch,
     pub(super) admission: Admission,
@@ -47,21 +52,22 @@
     pub(super) slow_start: SlowStartBudget,
     pub(super) fleet_utilization: FleetUtilization,
     pub(super) connection_scarcity: ConnectionScarcity,
-    /// Share of recent attempts, over all endpoints, that failed.
+    /// Share of recent attempts at all endpoints that failed, 0 to 1.
     pub(super) fleet_failure_share: f64,
-    /// Attempts in flight.
+    /// Attempts of this node in flight at all endpoints.
     pub(super) in_flight: u32,
     pub(super) rejection_log: RejectionLog,
     discovery_schedule: DiscoverySchedule,
-    /// When housekeeping last ran, in milliseconds on the balancer's clock.
-    housekeeping_at_ms: f64,
+    /// When housekeeping last ran, in milliseconds on the balancer's clock; the start before its first run.
+    last_housekeeping_at_ms: f64,
 }
 
 impl Balancer {
-    /// A balancer that knows its settings and nothing else. The same seed and events give the same actions.
+    /// Creates a balancer that knows no endpoint and no request. The same settings, seed and events result in
+    /// the same actions.
     ///
     /// # Errors
-    /// Settings that no balancer can run on: no class, or a figure outside its range.
+    /// Returns an error if the settings contain no class, or a figure outside its range.
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         settings.check()?;
         let tuning = Tuning::new(&settings);
@@ -81,13 +87,13 @@
             in_flight: 0,
             rejection_log: RejectionLog::default(),
             discovery_schedule: DiscoverySchedule::default(),
-            housekeeping_at_ms: 0.0,
+            last_housekeeping_at_ms: 0.0,
             settings,
         })
     }
 
-    /// Takes one event that happened at `now_ms` on the balancer's clock, and adds what is to be done to
-    /// `actions`.
+    /// Handles one event that happened at `now_ms`, in milliseconds on the balancer's clock, and appends the
+    /// resulting actions to `actions`.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => self.on_start(now_ms, actions),
@@ -107,7 +113,7 @@
             }
             Event::ClientDisconnected(id) => self.on_client_disconnected(id, actions),
             Event::Timer(HOUSEKEEPING_TIMER) => self.on_housekeeping(now_ms, actions),
-            Event::Timer(POLL_TIMER) => actions.push(Action::SetWatch(true)),
+            Event::Timer(DISCOVERY_POLL_TIMER) => actions.push(Action::SetWatch(true)),
             Event::Disable(id) => {
                 self.endpoints.disable(now_ms, id, &self.slow_start);
                 actions.push(Action::CloseIdleConnections(id));
@@ -125,7 +131,7 @@
     }
 
     fn on_start(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
-        self.housekeeping_at_ms = now_ms;
+        self.last_housekeeping_at_ms = now_ms;
         self.schedule_housekeeping(now_ms, actions);
     }
 
@@ -142,24 +148,25 @@
         actions: &mut Vec<Action>,
     ) {
         if update == WatchUpdate::Failure {
-            let longest_ms = self.settings.max_poll_interval_ms;
-            let pause_ms = self.discovery_schedule.failed(&self.tuning, longest_ms, &mut self.rng);
-            actions.push(Action::Timer { token: POLL_TIMER, at_ms: now_ms + pause_ms });
+            let max_interval_ms = self.settings.max_poll_interval_ms;
+            let pause_ms = self.discovery_schedule.failed(&self.tuning, max_interval_ms, &mut self.rng);
+            actions.push(Action::Timer { token: DISCOVERY_POLL_TIMER, at_ms: now_ms + pause_ms });
             return;
         }
         self.discovery_schedule.succeeded();
         if update == WatchUpdate::CachedSnapshot && self.settings.discovery == DiscoveryMode::Poll {
             let has_endpoints = !endpoints.is_empty();
             let wait_ms = DiscoverySchedule::first_poll_in_ms(has_endpoints, &self.tuning, &mut self.rng);
-            actions.push(Action::Timer { token: POLL_TIMER, at_ms: now_ms + wait_ms });
+            actions.push(Action::Timer { token: DISCOVERY_POLL_TIMER, at_ms: now_ms + wait_ms });
         }
         self.endpoints.apply_update(now_ms, update, endpoints, &self.slow_start, &mut self.rng);
     }
 
-    /// Brings all that fades, fills or is estimated up to date.
+    /// Updates everything that changes with time: decaying counts, token buckets, the placement of keys, and
+    /// the admission level. Schedules the next run.
     fn on_housekeeping(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
-        let seconds = ((now_ms - self.housekeeping_at_ms) / 1000.0).max(MIN_HOUSEKEEPING_SECONDS);
-        self.housekeeping_at_ms = now_ms;
+        let seconds = ((now_ms - self.last_housekeeping_at_ms) / 1000.0).max(MIN_HOUSEKEEPING_SECONDS);
+        self.last_housekeeping_at_ms = now_ms;
         self.schedule_housekeeping(now_ms, actions);
         let warm_rate = self.endpoints.mean_warm_rate(now_ms, &self.slow_start);
         self.slow_start.observe_warm_rate(warm_rate);
@@ -174,6 +181,7 @@
         self.log_rejections(now_ms, actions);
     }
 
+    /// Logs the rejections since the last such log line, if a new line is due.
     fn log_rejections(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         let Some(counts) = self.rejection_log.take_due(now_ms) else { return };
         let live = self.endpoints.in_service().filter(|endpoint| !endpoint.failures.is_congested());
@@ -186,17 +194,20 @@
         }));
     }
 
-    /// What the next process of this node has to know of the endpoints.
+    /// Returns, for each endpoint, the state that the next process of this node takes over with
+    /// [`Event::SnapshotRestored`].
     pub fn snapshot(&self, now_ms: f64) -> Vec<EndpointSnapshot> {
         self.endpoints.snapshot(now_ms)
     }
 
-    /// The endpoints that the operators have out of service.
+    /// Returns the endpoints that operators have taken out of service with [`Event::Disable`], whether or not
+    /// discovery lists them.
     pub fn disabled_endpoints(&self) -> impl Iterator<Item = EndpointId> {
         self.endpoints.disabled()
     }
 
-    /// Whether an endpoint may be sent to, as far as discovery and the operators go.
+    /// Returns whether discovery lists an endpoint as active and operators have not disabled it. A congested
+    /// endpoint, or one in slow start, is in service.
     pub fn is_in_service(&self, id: EndpointId) -> bool {
         self.endpoints.is_in_service(id)
     }
