--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -1,38 +1,41 @@
-//! The events that a balancer takes.
+//! Defines the events that the host reports to a balancer, and the outcomes of attempts.
+//!
+//! The outcome of an attempt determines several things: whether the request may be repeated, whether the
+//! endpoint is blamed, and which estimates learn from it. [`AttemptOutcome`] derives them all in one place.
 
 use super::endpoint::{EndpointId, EndpointSnapshot, EndpointUpdate};
 use super::load_report::LoadReport;
 use super::request::{Request, RequestId};
 
-/// What an update of the endpoint list contains.
+/// Which endpoints an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchUpdate {
-    /// Changed endpoints only.
+    /// Only the endpoints that have changed.
     Delta,
-    /// All endpoints: one that is absent has been removed.
+    /// All endpoints. An endpoint that is missing from the update has been removed.
     Snapshot,
-    /// All endpoints as they were known before a restart, perhaps out of date, and none where nothing was
-    /// kept. Comes once, right after [`Event::Start`].
+    /// All endpoints that were known before a restart. The list may be out of date, and is empty if no list
+    /// was stored. Reported once, right after [`Event::Start`].
     CachedSnapshot,
-    /// A poll failed or the watch broke; the list stays as it is.
+    /// None: a poll failed, or the watch was interrupted. The known list stays in use.
     Failure,
 }
 
-/// Where the fault of an attempt lay that brought no answer.
+/// The part of the system at fault when an attempt was not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultSource {
-    /// This node: it cancelled the attempt, or could not send it.
+    /// This node cancelled the attempt or did not send it.
     Node,
-    /// The connection: it was not made, or it broke.
+    /// The connection could not be established, or was lost.
     Connection,
-    /// The endpoint: what it responded, or that it did not respond.
+    /// The endpoint responded with an error or a rejection, or did not respond in time.
     Endpoint,
 }
 
 /// How an attempt or a probe ended.
 ///
-/// Everything that follows from how an attempt ended is derived here and nowhere else: whether
-/// the request may have run, where the fault lay, and what the end says of the endpoint.
+/// All conclusions from an outcome are derived in this type and nowhere else: whether the request may have
+/// run, where the fault lies, and whether the endpoint failed.
 ///
 /// | outcome | may have run | fault | counts as failure |
 /// | --- | --- | --- | --- |
@@ -46,26 +49,26 @@
 /// | `NotSent` | no | node | no |
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It was answered.
+    /// The endpoint answered the request.
     Answered,
-    /// The endpoint answered with an error; the request may have run.
+    /// The endpoint answered with an error. The request may have run.
     ErrorResponse,
-    /// The endpoint rejected it; the request did not run.
+    /// The endpoint rejected the request without running it.
     Rejected,
-    /// No answer came in time; the request may have run.
+    /// No answer arrived within the attempt's timeout. The request may have run.
     TimedOut,
-    /// No connection was made in time; the request did not run.
+    /// No connection was established in time. The request did not run.
     ConnectFailed,
-    /// The connection broke; the request may have run.
+    /// The connection was lost before the answer. The request may have run.
     ConnectionReset,
-    /// The node cancelled it; the request may have run.
+    /// This node cancelled the attempt. The request may have run.
     Cancelled,
-    /// It was never sent; the request did not run.
+    /// This node did not send the attempt. The request did not run.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// The name that logs and counters show. These are read by the operators' tools and stay as they are.
+    /// Returns the name in logs and counters. Operators' tools read these names, so they must not change.
     pub fn name(self) -> &'static str {
         match self {
             AttemptOutcome::Answered => "done",
@@ -79,12 +82,13 @@
         }
     }
 
-    /// Whether the outcome proves that the request did not run at the endpoint.
+    /// Returns whether the outcome proves that the request did not run at the endpoint.
     pub fn proves_not_executed(self) -> bool {
         matches!(self, AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent | AttemptOutcome::Rejected)
     }
 
-    /// Whether the endpoint failed to answer: these count in its failure record.
+    /// Returns whether the endpoint failed to answer, which counts as a failure in its failure record. Error
+    /// responses and rejections are answers.
     pub(super) fn is_failure(self) -> bool {
         matches!(
             self,
@@ -92,7 +96,7 @@
         )
     }
 
-    /// Where the fault lay; none for an answer.
+    /// Returns the part of the system at fault, or `None` if the attempt was answered.
     pub fn fault_source(self) -> Option<FaultSource> {
         match self {
             AttemptOutcome::Answered => None,
@@ -106,102 +110,108 @@
         }
     }
 
-    /// Whether the node itself ended or withheld the attempt, which says nothing of the endpoint.
+    /// Returns whether this node cancelled the attempt or did not send it. Such an attempt carries no
+    /// information about the endpoint.
     pub(super) fn was_ended_by_node(self) -> bool {
         self.fault_source() == Some(FaultSource::Node)
     }
 
-    /// Whether the connection failed, which no class of requests can be blamed for.
+    /// Returns whether the connection could not be established or was lost. Such a failure is not
+    /// attributed to the class of the request.
     pub(super) fn is_connection_failure(self) -> bool {
         self.fault_source() == Some(FaultSource::Connection)
     }
 
-    /// Whether the time of the attempt is a lower bound of the time of an answer.
+    /// Returns whether the duration of the attempt is a lower bound of the answer time: it is the answer time
+    /// of an answered attempt, and an attempt that timed out would have taken at least as long.
     pub(super) fn bounds_answer_time(self) -> bool {
         matches!(self, AttemptOutcome::Answered | AttemptOutcome::TimedOut)
     }
 
-    /// Whether the end concerns its endpoint alone and says nothing of the load of the fleet: the endpoint
-    /// is full or cannot be reached, and the request goes elsewhere.
+    /// Returns whether the outcome carries information about its endpoint only, and none about the load of
+    /// the fleet: the endpoint is full or cannot be reached, and another one can take the request.
     pub(super) fn is_specific_to_endpoint(self) -> bool {
         self == AttemptOutcome::Rejected || self.is_connection_failure()
     }
 }
 
-/// What happened.
+/// Something that happened in the host and that the balancer must know of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The node is up. Comes once, first.
+    /// The node has started. Always the first event, and reported once.
     Start,
-    /// Discovery reported endpoints, or could not.
+    /// Discovery reported endpoints, or failed to.
     EndpointsChanged {
-        /// What `endpoints` contains.
+        /// Which endpoints the update contains.
         update: WatchUpdate,
-        /// The endpoints reported.
+        /// The reported endpoints; ignored if the update is a failure.
         endpoints: Vec<EndpointUpdate>,
     },
-    /// A request to answer.
+    /// A client's request has arrived.
     Request(Request),
-    /// The last byte of a request's body has come, later than its head: the request's time counts from
-    /// here.
+    /// The body of a request is complete, some time after its head. The times of the request, such as its
+    /// deadline, count from now on.
     RequestBodyComplete(RequestId),
-    /// A streamed response has begun: the request is answered, whatever becomes of the rest.
+    /// A streamed response has started. The request counts as answered even if the rest of the response
+    /// fails.
     ResponseStarted {
-        /// The request.
+        /// The request that the response belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// Index of the attempt among the attempts of its request, from 0.
         attempt: u32,
-        /// The endpoint that answers.
+        /// The endpoint that sends the response.
         endpoint: EndpointId,
         /// Time since the attempt was sent, in milliseconds.
         elapsed_ms: f64,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// Index of the attempt among the attempts of its request, from 0.
         attempt: u32,
-        /// The endpoint that it went to.
+        /// The endpoint that the attempt was sent to.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The result of the attempt.
         outcome: AttemptOutcome,
-        /// The request has its final answer, by this attempt or before it.
+        /// Whether the request has its final answer, from this attempt or from an earlier one.
         request_finished: bool,
         /// Time since the attempt was sent, in milliseconds.
         elapsed_ms: f64,
-        /// The endpoint's report of its load, as far as it gave one.
+        /// The load figures that the endpoint reported; all of them are absent if it reported none.
         load: LoadReport,
     },
-    /// The client is gone; it is owed no answer.
+    /// The client of the request has disconnected. It needs no answer any more.
     ClientDisconnected(RequestId),
-    /// A timer set by [`Action::Timer`](super::Action::Timer) is due.
+    /// A timer that [`Action::Timer`](super::Action::Timer) set is due. The value is the timer's token.
     Timer(u64),
-    /// A probe is over. No probe is ever sent: trials are requests.
+    /// A probe has ended. The balancer sends no probes, since its trials are requests, and ignores this
+    /// event.
     ProbeEnded {
-        /// The endpoint probed.
+        /// The endpoint that was probed.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The result of the probe.
         outcome: AttemptOutcome,
         /// Time since the probe was sent, in milliseconds.
         elapsed_ms: f64,
-        /// The endpoint's report of its load, as far as it gave one.
+        /// The load figures that the endpoint reported; all of them are absent if it reported none.
         load: LoadReport,
     },
-    /// The operators take an endpoint out of service, whatever discovery reports of it.
+    /// An operator takes an endpoint out of service, regardless of its state in discovery.
     Disable(EndpointId),
-    /// The operators put it back into service.
+    /// An operator puts a disabled endpoint back into service.
     Enable(EndpointId),
-    /// What the previous process of this node knew. Comes once, after the cached snapshot.
+    /// The state of the endpoints that the previous process of this node handed over. Reported at most once,
+    /// after the cached snapshot.
     SnapshotRestored(Vec<EndpointSnapshot>),
-    /// From now on another process of this node serves alongside this one, and to all others the two are
-    /// one node. Comes to both, to the new one after the restored snapshot.
+    /// From now on another process of this node serves requests alongside this one, and other nodes see the
+    /// two as one node. Reported to both processes; to the new one after the restored snapshot.
     HandoverStarted,
-    /// A message from another node.
+    /// A message from another node. The balancer ignores this event.
     PeerMessage {
-        /// Number of the sender.
+        /// Index of the sending node.
         from: u32,
-        /// What it said.
+        /// The message.
         bytes: Vec<u8>,
     },
 }
