--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -1,31 +1,32 @@
-//! The actions that a balancer orders its host to carry out.
+//! Defines the actions that a balancer returns for its host to carry out, and the reasons for rejections.
 
 use super::decision_log::DecisionLogEntry;
 use super::endpoint::EndpointId;
 use super::request::RequestId;
 
-/// Why a request is rejected or failed.
+/// The reason for which a request is rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectionReason {
-    /// Its answer would come too late to be of value.
+    /// The answer would arrive too late to have any value.
     ObjectiveMissed,
-    /// Admission sheds it.
+    /// Admission sheds the request to reduce the load.
     LoadShed,
     /// This node has as many requests in flight as admission allows.
     InFlightLimit,
-    /// No endpoint may be sent to.
+    /// All endpoints are out of service, congested, at a limit, already tried, or otherwise not allowed to
+    /// get the request.
     NoUsableEndpoint,
-    /// Too little time is left for an attempt.
+    /// The time until the deadline or the latency objective is too short for an attempt.
     DeadlineTooClose,
-    /// An attempt may have run, and the class allows no repeat.
+    /// The request may have run, and its class does not allow it to run again.
     NotRetryable,
-    /// Attempts failed, and the retry budget, the latency objective or the way the last one ended allows no
-    /// further.
+    /// The last attempt did not answer the request, and no retry is allowed: the retry budget is too low, the
+    /// latency objective has passed, or the attempt was not sent.
     RetryBudgetExhausted,
 }
 
 impl RejectionReason {
-    /// All of them.
+    /// All reasons, in the order of their declaration.
     pub const ALL: [RejectionReason; 7] = [
         RejectionReason::ObjectiveMissed,
         RejectionReason::LoadShed,
@@ -36,7 +37,7 @@
         RejectionReason::RetryBudgetExhausted,
     ];
 
-    /// The name that logs and counters show. These are read by the operators' tools and stay as they are.
+    /// Returns the name in logs and counters. Operators' tools read these names, so they must not change.
     pub fn name(self) -> &'static str {
         match self {
             RejectionReason::ObjectiveMissed => "too-late",
@@ -50,61 +51,63 @@
     }
 }
 
-/// What the host has to do.
+/// Something that the host must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; the attempts of a request are numbered from 0 in the order of these actions.
+    /// Send an attempt of a request to an endpoint. The attempts of a request are numbered from 0 in the
+    /// order of these actions.
     SendAttempt {
-        /// The request.
+        /// The request to send.
         id: RequestId,
-        /// The endpoint to send it to.
+        /// The endpoint that gets the attempt.
         endpoint: EndpointId,
-        /// How long to wait for the answer, in milliseconds.
+        /// How long to wait for the answer, in milliseconds from now.
         timeout_ms: f64,
-        /// How soon its first byte must be written, in milliseconds: later, the endpoint may have forgotten
-        /// an earlier attempt. Infinite where that does not matter.
+        /// How long the host may take to write the first byte, in milliseconds from now. Later, the endpoint
+        /// may no longer recognize the attempt as a repeat, and run the request twice. Infinite if no earlier
+        /// attempt may have run, or if the request may run twice.
         begin_within_ms: f64,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt that is in flight.
     CancelAttempt {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// Index of the attempt among the attempts of its request, from 0.
         attempt: u32,
     },
-    /// Final answer: rejected, with the promise that trying again does no harm.
+    /// Answer a request with a rejection, which promises the client that a retry does no harm.
     Reject {
-        /// The request.
+        /// The request to answer.
         id: RequestId,
-        /// When to come back, in milliseconds; 0 for no advice.
+        /// When the client should retry, in milliseconds from now; 0 if the answer should not say.
         retry_after_ms: f64,
-        /// Why.
+        /// The reason, for logs and counters.
         reason: RejectionReason,
     },
-    /// Final answer: failed, with no promise.
+    /// Answer a request with a failure. The request may have run, and a retry may run it twice.
     Fail {
-        /// The request.
+        /// The request to answer.
         id: RequestId,
-        /// Why.
+        /// The reason, for logs and counters.
         reason: RejectionReason,
     },
-    /// Deliver [`Event::Timer`](super::Event::Timer) later.
+    /// Report [`Event::Timer`](super::Event::Timer) at a later time.
     Timer {
-        /// Comes back in the event.
+        /// The token that the event must carry.
         token: u64,
-        /// When, in milliseconds on the balancer's clock.
+        /// When the timer is due, in milliseconds on the balancer's clock.
         at_ms: f64,
     },
     /// Close the connections to an endpoint that carry no request.
     CloseIdleConnections(EndpointId),
-    /// Send a message of at most 256 bytes to another node, or to all where none is named.
+    /// Send a message of at most 256 bytes to one other node or to all other nodes.
     SendPeerMessage {
-        /// Number of the receiver.
+        /// Index of the receiving node; `None` for all other nodes.
         to: Option<u32>,
-        /// What to say.
+        /// The message.
         bytes: Vec<u8>,
     },
-    /// Start or stop watching the endpoint list.
+    /// Start (`true`) or stop (`false`) watching the endpoint list.
     SetWatch(bool),
     /// Write a line to the node's log.
     Log(DecisionLogEntry),
