--- a/src/policy/pending_request.rs
+++ b/src/policy/pending_request.rs
@@ -1,20 +1,23 @@
-//! A request that has not got its final answer, or has attempts in flight.
+//! Keeps the state of a request and its attempts until it has its final answer and no attempt is in flight.
 
 use super::endpoint::{EndpointId, Location};
 use super::request::Request;
 
-/// One attempt of a request.
+/// One attempt to have an endpoint answer a request.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub endpoint: EndpointId,
+    /// Location of the endpoint when the attempt was sent.
     pub location: Location,
-    /// When it was sent, in milliseconds on the balancer's clock.
+    /// When the attempt was sent, in milliseconds on the balancer's clock.
     pub sent_at_ms: f64,
+    /// How long the host waits for the answer, in milliseconds from `sent_at_ms`.
     pub timeout_ms: f64,
+    /// The host has not reported the end of the attempt yet.
     pub in_flight: bool,
-    /// Its outcome proves that the request did not run.
+    /// The outcome proves that the request did not run; false while the attempt is in flight.
     pub never_ran: bool,
-    /// It is the trial of a congested endpoint.
+    /// The attempt is a trial of a congested endpoint.
     pub is_trial: bool,
 }
 
@@ -22,34 +25,38 @@
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     pub request: Request,
+    /// When the request arrived, in milliseconds on the balancer's clock.
     pub arrived_at_ms: f64,
-    /// Until when an answer is of full value, in milliseconds on the balancer's clock.
+    /// When the latency objective ends, in milliseconds on the balancer's clock.
     pub objective_at_ms: f64,
-    /// Value of an answer by then.
+    /// Value of an answer that arrives by `objective_at_ms`.
     pub weight: f64,
-    /// It has its final answer, or its client has gone.
+    /// The request has its final answer, or its client has disconnected.
     pub finished: bool,
+    /// All attempts so far, in the order in which they were sent.
     pub attempts: Vec<Attempt>,
 }
 
 impl PendingRequest {
-    /// An attempt is in flight.
+    /// Returns whether at least one attempt is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// No attempt may have run.
+    /// Returns whether the outcomes of all attempts prove that the request did not run. True if there was no
+    /// attempt.
     pub fn never_ran(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.never_ran)
     }
 
-    /// The first attempt that may have run.
-    pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
+    /// Returns the earliest attempt by which the request may have run, or `None` if it never ran.
+    pub fn first_attempt_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| !attempt.never_ran)
     }
 
-    /// The last byte of its body came at `now_ms`, later than its head: all its times count from there.
-    pub fn shift_to(&mut self, now_ms: f64) {
+    /// Moves the arrival to `now_ms`, when the body was complete, and all other times by the same amount. A
+    /// client that sends its body slowly thus does not use up the time for the answer.
+    pub fn shift_arrival_to(&mut self, now_ms: f64) {
         let delay_ms = now_ms - self.arrived_at_ms;
         self.arrived_at_ms = now_ms;
         self.objective_at_ms += delay_ms;
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -244,7 +244,7 @@
     /// Shifts the times of a request whose body is complete only now, some time after its head.
     pub(super) fn on_body_complete(&mut self, now_ms: f64, id: RequestId) {
         if let Some(pending) = self.requests.get_mut(&id) {
-            pending.shift_to(now_ms);
+            pending.shift_arrival_to(now_ms);
         }
     }
 
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -70,7 +70,7 @@
     class: Option<&RequestClass>,
     location: Location,
 ) -> f64 {
-    let Some(first) = request.first_that_may_have_run() else { return f64::INFINITY };
+    let Some(first) = request.first_attempt_that_may_have_run() else { return f64::INFINITY };
     let Some(class) = class else { return 0.0 };
     match class.idempotency {
         Idempotency::Idempotent => f64::INFINITY,
