--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,27 +1,28 @@
-//! A client's request as the decisions see it.
+//! Defines the properties of a client's request that the balancer decides by.
 
-/// Identity of one client request, which is one try of a client.
+/// Identifies one client request. A retry by the client is another request with another id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A client request.
+/// A client's request, without its content.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
-    /// Its id; never repeated.
+    /// Assigned by the host, which must not use the same id for two requests.
     pub id: RequestId,
-    /// Index into [`Settings::classes`](super::Settings::classes); one that is not there falls under the
-    /// strictest rules.
+    /// Index into [`Settings::classes`](super::Settings::classes). If the index is out of range, the class is
+    /// unknown and the strictest rules apply: the request must not run twice.
     pub class: usize,
-    /// Stable hash of the object that it is about; requests for one key go to the same endpoints where
-    /// possible.
+    /// Stable hash of the object that the request concerns. Requests with the same key go to the same few
+    /// endpoints if possible; a request without a key is placed at random.
     pub key: Option<u64>,
-    /// When the client gives this try up, in milliseconds on the balancer's clock.
+    /// When the client stops waiting for an answer, in milliseconds on the balancer's clock.
     pub deadline_ms: f64,
-    /// An estimate of its work, in milliseconds of processor time.
+    /// Estimate of the work, in milliseconds of processor time. If absent, the mean of the class is used.
     pub estimated_cost_ms: Option<f64>,
-    /// The client marks it as a further try.
+    /// The client has marked the request as a retry. Ignored unless
+    /// [`Settings::clients_mark_retries`](super::Settings::clients_mark_retries) is set.
     pub is_retry: bool,
-    /// How long it waited before this node took it, in milliseconds, out of the time that its client
-    /// allows.
+    /// How long the request waited before this node accepted it, in milliseconds. This time is part of the
+    /// time that the client allows for an answer.
     pub queued_ms: f64,
 }
