--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -326,7 +326,7 @@
         let may_run_again =
             self.settings.idempotency(pending.request.class).allows_repeats() || pending.never_ran();
         let is_before_objective = now_ms < pending.objective_at_ms;
-        let cost = RetryBudget::cost(report.outcome);
+        let cost = RetryBudget::retry_cost(report.outcome);
         let was_sent = report.outcome != AttemptOutcome::NotSent;
         if !may_run_again {
             self.reject_or_fail(now_ms, id, RejectionReason::NotRetryable, actions);
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,8 +1,10 @@
-//! Whether, where and for how long a failed attempt is repeated.
+//! Decides whether, where and until when a request is retried, and computes the timeout of each attempt.
 //!
-//! A repeat may run a request twice, and repeats multiply load when there is least to spare. So a request
-//! that may have run is repeated only as far as its class allows, each repeat takes from a budget that
-//! grows with the requests, and an attempt at a suspect endpoint gets a short timeout.
+//! A retry after an attempt that may have run is called a repeat: it can run the request twice. Retries also
+//! multiply the load when capacity is scarcest. So repeats are limited to what the class of the request
+//! allows, and each retry takes tokens from a budget that grows with the number of requests. An attempt at
+//! an endpoint that failed lately gets a short timeout, so that an endpoint that does not respond costs
+//! little time.
 
 use super::class_statistics::ClassStatistics;
 use super::endpoint::Location;
@@ -10,60 +12,63 @@
 use super::pending_request::PendingRequest;
 use super::settings::{Idempotency, RequestClass};
 
-/// What the budget holds at first, and at most, in repeats.
-const INITIAL_BUDGET: f64 = 3.0;
-const MAX_BUDGET: f64 = 10.0;
-/// What each request adds to it.
-const BUDGET_PER_REQUEST: f64 = 0.1;
-/// What a repeat costs, and what it costs where the attempt before did not run.
+/// Initial number of tokens in the retry budget.
+const INITIAL_TOKENS: f64 = 3.0;
+/// Maximum number of tokens in the retry budget.
+const MAX_TOKENS: f64 = 10.0;
+/// Tokens that each client request adds to the retry budget.
+const TOKENS_PER_REQUEST: f64 = 0.1;
+/// Cost of a retry after an attempt that may have run, in tokens.
 const REPEAT_COST: f64 = 1.0;
-const REPEAT_COST_IF_NEVER_RAN: f64 = 0.25;
-/// A short timeout leaves at least so many batches.
+/// Cost of a retry after an attempt that did not run, in tokens.
+const RETRY_COST_IF_NEVER_RAN: f64 = 0.25;
+/// Lower bound of a short timeout, in batch intervals.
 const MIN_TIMEOUT_BATCHES: f64 = 2.0;
 
-/// Tokens for repeated attempts.
+/// The budget that limits the retries of this node in proportion to its requests: requests add tokens, and
+/// retries take them.
 #[derive(Debug)]
 pub(super) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// The budget of a node that has seen no request.
+    /// Creates the budget of a node that has not seen any request.
     pub fn new() -> RetryBudget {
-        RetryBudget { tokens: INITIAL_BUDGET }
+        RetryBudget { tokens: INITIAL_TOKENS }
     }
 
-    /// A request came.
+    /// Adds the tokens that a new client request brings.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + BUDGET_PER_REQUEST).min(MAX_BUDGET);
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// What a repeat after this outcome costs.
-    pub fn cost(outcome: AttemptOutcome) -> f64 {
-        if outcome.proves_not_executed() { REPEAT_COST_IF_NEVER_RAN } else { REPEAT_COST }
+    /// Returns the cost of a retry after an attempt with this outcome, in tokens.
+    pub fn retry_cost(outcome: AttemptOutcome) -> f64 {
+        if outcome.proves_not_executed() { RETRY_COST_IF_NEVER_RAN } else { REPEAT_COST }
     }
 
-    /// Whether a repeat of this cost can be afforded.
+    /// Returns whether the budget has enough tokens for a retry of this cost.
     pub fn affords(&self, cost: f64) -> bool {
         self.tokens >= cost
     }
 
-    /// Whether a repeat can be afforded after an attempt that may have run.
+    /// Returns whether the budget has enough tokens for a retry after an attempt that may have run.
     pub fn affords_repeat(&self) -> bool {
         self.affords(REPEAT_COST)
     }
 
-    /// Takes the cost of a repeat.
+    /// Takes the cost of a retry. The caller must have checked that the budget affords it.
     pub fn withdraw(&mut self, cost: f64) {
         self.tokens -= cost;
     }
 }
 
-/// For how long, in milliseconds, a further attempt at a location may still begin: infinite where nothing
-/// has run or repeating does no harm, 0 or less where it is not allowed.
+/// Returns for how long another attempt at this location may begin, in milliseconds from now. Infinite if no
+/// attempt may have run or the class is idempotent; 0 or negative if no attempt may begin.
 ///
-/// Once an attempt may have run, a request that is not idempotent is sent only where its key is remembered,
-/// and for as long as it is.
+/// Once a request that is not idempotent may have run, it may be sent only to endpoints that drop repeats of
+/// that attempt by the idempotency key, and only while these remember the key.
 pub(super) fn repeat_window_ms(
     now_ms: f64,
     request: &PendingRequest,
@@ -81,22 +86,27 @@
     }
 }
 
-/// What the timeout of an attempt depends on.
+/// The facts that determine the timeout of one attempt.
 #[derive(Debug)]
 pub(super) struct AttemptTimeout<'a> {
     pub now_ms: f64,
     pub request: &'a PendingRequest,
-    /// An answer after the objective keeps part of its value, and admission sheds next to nothing.
+    /// The timeout may extend from the latency objective to the deadline: late answers keep part of their
+    /// value, and admission sheds almost nothing.
     pub extends_past_objective: bool,
-    /// The endpoint has failed lately, and a repeat is allowed and can be afforded.
+    /// The endpoint failed lately, the class allows a repeat, and the retry budget affords it.
     pub allows_short_timeout: bool,
+    /// Statistics of the request's class; `None` if the class is unknown.
     pub statistics: Option<&'a ClassStatistics>,
     pub batch_interval_ms: f64,
 }
 
 impl AttemptTimeout<'_> {
-    /// n, the timeout in milliseconds: up to the objective or the deadline, and short where the endpoint is
-    /// suspect, so that a silent one costs little.
+    /// Returns the timeout, in milliseconds; it may be negative. The attempt may last until the latency
+    /// objective or the deadline.
+    ///
+    /// If a short timeout is allowed and enough answers were seen to estimate one (n), the attempt ends after
+    /// that time at the latest, so that an endpoint that does not respond costs little time.
     pub fn timeout_ms(&self) -> f64 {
         let deadline_ms = self.request.request.deadline_ms;
         let end_ms = if self.extends_past_objective { deadline_ms } else { self.request.objective_at_ms };
