--- a/src/policy/rejection_log.rs
+++ b/src/policy/rejection_log.rs
@@ -1,21 +1,25 @@
-//! Says now and then why requests were rejected.
+//! Counts rejected requests by reason, for a log line that sums them up at most every 10 s.
+//!
+//! A line for each rejection would flood the log under overload.
 
 use super::CLOCK_ORIGIN_MS;
 use super::action::RejectionReason;
 use super::decision_log::RejectionCounts;
 
-/// Time between two lines, in milliseconds.
-const INTERVAL_MS: f64 = 10_000.0;
+/// Shortest time between two log lines, in milliseconds.
+const MIN_LOG_INTERVAL_MS: f64 = 10_000.0;
 
-/// Requests rejected before an attempt since that was last logged.
+/// The rejections since the last log line, and the time of that line.
 #[derive(Debug, Default)]
 pub(super) struct RejectionLog {
     counts: RejectionCounts,
-    logged_at_ms: Option<f64>,
+    /// When the last line was logged, in milliseconds on the balancer's clock; `None` before the first line.
+    last_logged_at_ms: Option<f64>,
 }
 
 impl RejectionLog {
-    /// Counts a rejection.
+    /// Counts a rejection or failure, unless the request was given up after its attempts or because of its
+    /// deadline.
     pub fn record(&mut self, reason: RejectionReason) {
         let counts = &mut self.counts;
         match reason {
@@ -29,13 +33,14 @@
         }
     }
 
-    /// What is to be logged now; none where nothing was rejected, or the last line is too recent.
+    /// Returns and resets the counts if a log line is due. Returns `None` if no rejection was counted, or if
+    /// the last line was logged less than [`MIN_LOG_INTERVAL_MS`] ago.
     pub fn take_due(&mut self, now_ms: f64) -> Option<RejectionCounts> {
-        let since_last_ms = now_ms - self.logged_at_ms.unwrap_or(CLOCK_ORIGIN_MS);
-        if since_last_ms < INTERVAL_MS || self.counts == RejectionCounts::default() {
+        let since_last_ms = now_ms - self.last_logged_at_ms.unwrap_or(CLOCK_ORIGIN_MS);
+        if since_last_ms < MIN_LOG_INTERVAL_MS || self.counts == RejectionCounts::default() {
             return None;
         }
-        self.logged_at_ms = Some(now_ms);
+        self.last_logged_at_ms = Some(now_ms);
         Some(std::mem::take(&mut self.counts))
     }
 }
