--- a/src/policy/decision_log.rs
+++ b/src/policy/decision_log.rs
@@ -1,58 +1,63 @@
-//! What the decisions have to say to the operators: typed events with a text form.
+//! Defines the log lines about the balancer's decisions, as typed values with a text form.
+//!
+//! The balancer does no I/O. It returns the values to the host, which writes their text to the node's log.
 
 use super::endpoint::EndpointId;
 use std::fmt::{self, Display, Formatter};
 
-/// A line of the log on a decision. The texts are quoted by the operators' pages and stay as they are.
+/// One log line about a decision. Operators search the log for the first words of each text, so these words
+/// must not change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DecisionLogEntry {
-    /// An endpoint is congested.
+    /// An endpoint has become congested.
     EndpointCongested {
-        /// Which endpoint.
+        /// The congested endpoint.
         endpoint: EndpointId,
-        /// Failed attempts within the failure window.
+        /// Number of failed attempts in the failure window.
         failures: f64,
-        /// All attempts within it.
+        /// Number of all attempts in the failure window.
         attempts: f64,
-        /// Time until the first trial, in milliseconds.
+        /// Time until the first trial is due, in milliseconds.
         trial_in_ms: f64,
     },
-    /// A trial was answered: the endpoint is live again.
+    /// A congested endpoint has answered a trial and is live again.
     EndpointLive {
-        /// Which endpoint.
+        /// The endpoint that answered.
         endpoint: EndpointId,
-        /// Trials that failed before.
+        /// Number of trials that failed before this one.
         failed_trials: u32,
-        /// It could not be reached meanwhile, may have restarted, and begins its slow start anew.
+        /// Whether the endpoint begins a slow start, because a trial found it unreachable and it may have
+        /// restarted.
         slow_start: bool,
     },
-    /// Attempts find no connection at large: idle connections are closed.
+    /// Too many attempts at all endpoints fail to connect, so idle connections are closed.
     ConnectionsScarce,
     /// Requests were rejected since the last line of this kind.
     RequestsRejected {
-        /// How many, by reason.
+        /// Number of rejected requests by reason.
         counts: RejectionCounts,
-        /// Endpoints in service that are not congested.
+        /// Number of endpoints in service that are not congested.
         live_endpoints: usize,
-        /// Endpoints in service.
+        /// Number of endpoints in service.
         endpoints: usize,
-        /// Share of the offered work that admission lets in.
+        /// Share of the offered work that is admitted, 0 to 1.
         admission_level: f64,
-        /// Share of overload in recent outcomes.
+        /// Share of recent outcomes that show overload, 0 to 1.
         overload: f64,
     },
 }
 
-/// Requests rejected before an attempt, by reason.
+/// Numbers of rejected requests by reason. The reasons that concern only single requests are not counted:
+/// a deadline that is too close, and failed attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectionCounts {
-    /// Their answers would have come too late.
+    /// Requests whose answers would have arrived too late to have any value.
     pub objective_missed: u32,
-    /// Admission shed them.
+    /// Requests that admission shed to reduce the load.
     pub load_shed: u32,
-    /// The node had too many in flight.
+    /// Requests that arrived while the node had reached its limit of requests in flight.
     pub in_flight_limit: u32,
-    /// No endpoint could be sent to.
+    /// Requests for which no endpoint was usable.
     pub no_usable_endpoint: u32,
 }
 
