--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,29 +1,32 @@
-//! The decisions of one node, without I/O, clock, threads or globals.
+//! Makes the load-balancing decisions of one node, without I/O, clock, threads or global state.
 //!
-//! A load balancer in front of endpoints that restart, hang, slow down and leave has to decide, for each
-//! request, whether to admit it, which endpoint gets it, whether a failed attempt is repeated, and when to
-//! give up. This module decides; the host that embeds it (the node, or the simulator adapter) reads clocks
-//! and sockets.
+//! A load balancer in front of endpoints that restart, hang, slow down and leave must decide, for each
+//! request, whether to admit it, which endpoint gets it, whether a failed attempt is retried, and when to
+//! give up. This module makes these decisions. Its host, which is the node or the simulator adapter, reads
+//! the clock and does the I/O.
 //!
-//! [`Balancer`] takes [`Event`]s in the order they happened, each with the time at which it did, and
-//! answers with the [`Action`]s that the host has to carry out in the order given. The same seed, settings
-//! and events give the same actions.
+//! [`Balancer`] takes [`Event`]s in the order in which they happened, each with its time, and returns the
+//! [`Action`]s that the host must carry out in the given order. The same seed, settings and events result in
+//! the same actions.
 //!
-//! All times are `f64` milliseconds of one monotonic clock with an arbitrary origin.
+//! All times are `f64` milliseconds on one monotonic clock with an arbitrary origin.
 //!
 //! | rule | module |
 //! | --- | --- |
 //! | which requests are admitted | `admission` |
-//! | which endpoint a request goes to | `selection`, with `key_frequency` and `class_outlier` |
-//! | what every attempt must satisfy | `send_gate` |
-//! | when an endpoint is congested, and when it is tried again | `failure_record` |
-//! | how many requests an endpoint may have in flight | `concurrency_limit` |
-//! | how fast a restarted endpoint gets traffic | `slow_start` |
-//! | whether and for how long an attempt is repeated | `retry` |
-//! | when a rejected client should come back | `retry_after` |
-//! | which endpoints exist | `endpoint_set` |
+//! | which endpoint gets a request | `selection`, with `key_frequency` and `class_outlier` |
+//! | which conditions every attempt must meet | `send_gate` |
+//! | when an endpoint is congested, and when it gets a trial | `failure_record` |
+//! | how many requests a node may have in flight at an endpoint | `concurrency_limit` |
+//! | how much traffic a restarted endpoint gets | `slow_start` |
+//! | whether and until when a request is retried, and the timeout of an attempt | `retry` |
+//! | when a rejected client should retry | `retry_after` |
+//! | which endpoints are in service | `endpoint_set` |
 //! | when discovery is polled | `discovery_schedule` |
-//! | when idle connections are closed | `connection_scarcity` |
+//! | when idle connections are closed because endpoints accept no more | `connection_scarcity` |
+//!
+//! `request_lifecycle` applies these rules to a request, and `outcome_feedback` updates the estimates behind
+//! them when an attempt ends.
 
 mod action;
 mod admission;
@@ -55,7 +58,8 @@
 mod slow_start;
 mod tuning;
 
-/// What has never happened is taken for as old as the clock, in milliseconds.
+/// The time assumed for an event that has never happened: the origin of the balancer's clock, in
+/// milliseconds.
 const CLOCK_ORIGIN_MS: f64 = 0.0;
 
 pub use action::{Action, RejectionReason};
