--- a/src/policy/decision_log.rs
+++ b/src/policy/decision_log.rs
@@ -66,15 +66,20 @@
         match self {
             DecisionLogEntry::EndpointCongested { endpoint, failures, attempts, trial_in_ms } => write!(
                 f,
-                "congested {:016x}: {failures} failures of {attempts}, trial in {trial_in_ms:.0} ms",
+                "congested {:016x}: {failures} of {attempts} recent attempts failed, \
+                 first trial in {trial_in_ms:.0} ms",
                 endpoint.0
             ),
             DecisionLogEntry::EndpointLive { endpoint, failed_trials, slow_start } => {
-                let cold = if *slow_start { ", held for cold" } else { "" };
-                write!(f, "live {:016x}: trial answered after {failed_trials} failed{cold}", endpoint.0)
+                let slow_start = if *slow_start { ", slow start begins" } else { "" };
+                write!(
+                    f,
+                    "live {:016x}: trial answered after {failed_trials} failed trials{slow_start}",
+                    endpoint.0
+                )
             }
             DecisionLogEntry::ConnectionsScarce => {
-                f.write_str("connections are scarce: idle ones are given back")
+                f.write_str("connections are scarce: closing idle connections")
             }
             DecisionLogEntry::RequestsRejected {
                 counts,
@@ -85,9 +90,9 @@
             } => {
                 write!(
                     f,
-                    "refused: {} too late, {} shed, {} crowded, {} with every way blocked; \
-                     {live_endpoints} of {endpoints} live, level {admission_level:.2}, \
-                     overload {overload:.2}",
+                    "refused: {} too late, {} shed, {} over the in-flight limit, \
+                     {} without a usable endpoint; {live_endpoints} of {endpoints} endpoints live, \
+                     admission level {admission_level:.2}, overload {overload:.2}",
                     counts.objective_missed,
                     counts.load_shed,
                     counts.in_flight_limit,
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -130,7 +130,9 @@
     }
     let rejected = node.requests.values().filter(|a| a.answer == Some(Answer::Rejected)).count();
     node.wait(12_000.0);
-    let line = format!("refused: 0 too late, 0 shed, 0 crowded, {rejected} with every way blocked");
+    let line = format!(
+        "refused: 0 too late, 0 shed, 0 over the in-flight limit, {rejected} without a usable endpoint"
+    );
     assert!(rejected > 0 && node.logs.iter().any(|l| l.starts_with(&line)), "{line}: {:?}", node.logs);
 }
 
--- a/tests/policy/failure_record.rs
+++ b/tests/policy/failure_record.rs
@@ -172,7 +172,7 @@
         node.end_attempt(trial, AttemptOutcome::Answered);
     }
     assert!(
-        node.logs.iter().any(|l| l.starts_with("live") && l.ends_with("held for cold")),
+        node.logs.iter().any(|l| l.starts_with("live") && l.ends_with("slow start begins")),
         "{:?}",
         node.logs
     );
