--- a/src/policy/decision_log.rs
+++ b/src/policy/decision_log.rs
@@ -30,11 +30,12 @@
         /// restarted.
         slow_start: bool,
     },
-    /// Too many attempts at all endpoints fail to connect, so idle connections are closed.
+    /// The share of attempts that fail to connect, over all endpoints, is too high, so idle connections are
+    /// closed.
     ConnectionsScarce,
-    /// Requests were rejected since the last line of this kind.
+    /// Requests were rejected or failed since the last line of this kind.
     RequestsRejected {
-        /// Number of rejected requests by reason.
+        /// Numbers of these requests by reason.
         counts: RejectionCounts,
         /// Number of endpoints in service that are not congested.
         live_endpoints: usize,
@@ -47,8 +48,8 @@
     },
 }
 
-/// Numbers of rejected requests by reason. The reasons that concern only single requests are not counted:
-/// a deadline that is too close, and failed attempts.
+/// Numbers of requests that were rejected or failed, by reason. The reasons that concern only single requests
+/// are not counted: a deadline that is too close, and failed attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectionCounts {
     /// Requests whose answers would have arrived too late to have any value.
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -135,7 +135,7 @@
     }
 }
 
-/// Something that happened in the host and that the balancer must know of.
+/// Something that happened outside the balancer and that its decisions may depend on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The node has started. Always the first event, and reported once.
--- a/src/policy/pending_request.rs
+++ b/src/policy/pending_request.rs
@@ -1,4 +1,5 @@
-//! Keeps the state of a request and its attempts until it has its final answer and no attempt is in flight.
+//! Keeps the state of a request and its attempts until the request has its final answer and no attempt is in
+//! flight.
 
 use super::endpoint::{EndpointId, Location};
 use super::request::Request;
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -22,8 +22,8 @@
 /// the offered work that is admitted, is above this value.
 const MIN_ADMISSION_LEVEL_FOR_LATE_ANSWERS: f64 = 0.95;
 /// Lower bound, in milliseconds, of the remaining latency objective that a retry-after time is computed
-/// from.
-const MIN_OBJECTIVE_MS: f64 = 1.0;
+/// from: nothing remains if earlier tries of the client have used up the objective.
+const MIN_REMAINING_OBJECTIVE_MS: f64 = 1.0;
 
 /// The host's report on the end of one attempt.
 #[derive(Clone, Copy, Debug)]
@@ -32,7 +32,7 @@
     /// Index of the attempt among the attempts of its request, from 0.
     pub attempt: u32,
     pub outcome: AttemptOutcome,
-    /// The client has its final answer, so the request must not be retried.
+    /// The client has its final answer, from this attempt or an earlier one.
     pub request_finished: bool,
     /// Time since the attempt was sent, in milliseconds. The host's value may not be finite.
     pub elapsed_ms: f64,
@@ -44,9 +44,13 @@
 /// client's deadline as both the latency objective and the deadline.
 #[derive(Clone, Copy, Debug)]
 struct EffectiveClass {
+    /// Latency objective, in milliseconds from the client's first try.
     objective_ms: f64,
+    /// The longest that a client waits, in milliseconds from its first try.
     deadline_ms: f64,
+    /// Value of an answer within the objective.
     weight: f64,
+    /// Part of the value that a later answer keeps, 0 to 1.
     late_weight_factor: f64,
 }
 
@@ -226,7 +230,8 @@
         let Some(pending) = self.requests.get(&id).filter(is_unanswered) else { return };
         let idempotency = self.settings.idempotency(pending.request.class);
         let client_may_retry = pending.never_ran() || idempotency.is_harmless_anywhere();
-        let objective_ms = (pending.objective_at_ms - pending.arrived_at_ms).max(MIN_OBJECTIVE_MS);
+        let remaining_objective_ms =
+            (pending.objective_at_ms - pending.arrived_at_ms).max(MIN_REMAINING_OBJECTIVE_MS);
         self.requests.remove(&id);
         if !client_may_retry {
             actions.push(Action::Fail { id, reason });
@@ -234,7 +239,13 @@
         }
         let retry_after_ms = if self.settings.retry_after {
             let max_retry_after_ms = self.settings.max_retry_after_ms;
-            retry_after_ms(now_ms, objective_ms, max_retry_after_ms, &self.endpoints, &mut self.rng)
+            retry_after_ms(
+                now_ms,
+                remaining_objective_ms,
+                max_retry_after_ms,
+                &self.endpoints,
+                &mut self.rng,
+            )
         } else {
             0.0
         };
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -105,8 +105,8 @@
     /// Returns the timeout, in milliseconds; it may be negative. The attempt may last until the latency
     /// objective or the deadline.
     ///
-    /// If a short timeout is allowed and enough answers were seen to estimate one (n), the attempt ends after
-    /// that time at the latest, so that an endpoint that does not respond costs little time.
+    /// If a short timeout n is allowed, and enough answers were seen to estimate it, the attempt lasts no
+    /// longer than n, so that an endpoint that does not respond costs little time.
     pub fn timeout_ms(&self) -> f64 {
         let deadline_ms = self.request.request.deadline_ms;
         let end_ms = if self.extends_past_objective { deadline_ms } else { self.request.objective_at_ms };
--- a/src/policy/retry_after.rs
+++ b/src/policy/retry_after.rs
@@ -6,7 +6,7 @@
 
 use super::endpoint_set::EndpointSet;
 
-/// T is the latency objective divided by this value, so that a client that retries between T and 2 T from
+/// T is the remaining latency objective divided by this value, so that a client that retries between T and 2 T from
 /// now can still be served within the objective.
 const OBJECTIVE_DIVISOR: f64 = 4.0;
 /// T is at most the longest retry-after time that clients honour, divided by this value, so that 2 T is not
@@ -16,16 +16,16 @@
 /// Returns CRAT in milliseconds from now: T plus a random 0 to T, preceded by the time until the earliest
 /// PRAT if all endpoints are congested, and at most `max_retry_after_ms`.
 ///
-/// `latency_objective_ms` is the part of the objective that remained when the request arrived.
+/// `remaining_objective_ms` is the part of the latency objective that remained when the request arrived.
 pub(super) fn retry_after_ms(
     now_ms: f64,
-    latency_objective_ms: f64,
+    remaining_objective_ms: f64,
     max_retry_after_ms: f64,
     endpoints: &EndpointSet,
     rng: &mut fastrand::Rng,
 ) -> f64 {
     let longest_spread_ms = max_retry_after_ms / MAX_RETRY_AFTER_DIVISOR;
-    let spread_ms = (latency_objective_ms / OBJECTIVE_DIVISOR).min(longest_spread_ms);
+    let spread_ms = (remaining_objective_ms / OBJECTIVE_DIVISOR).min(longest_spread_ms);
     let until_trial_ms = time_until_first_trial_ms(now_ms, endpoints);
     (until_trial_ms + spread_ms * (1.0 + rng.f64())).min(max_retry_after_ms)
 }
