--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -213,8 +213,8 @@
     }
 
     /// Ends a request that no endpoint has answered, unless an attempt is still in flight. Rejects it if a
-    /// retry by the client does no harm, because no attempt can have run or the request may run twice, and
-    /// fails it otherwise.
+    /// retry by the client does no harm, either because no attempt can have run or because its class is
+    /// deduplicated or idempotent at every endpoint, and fails it otherwise.
     ///
     /// No other function rejects or fails a request.
     fn reject_or_fail(
--- a/src/policy/retry_after.rs
+++ b/src/policy/retry_after.rs
@@ -6,8 +6,8 @@
 
 use super::endpoint_set::EndpointSet;
 
-/// T is the remaining latency objective divided by this value, so that a client that retries between T and 2 T from
-/// now can still be served within the objective.
+/// T is the remaining latency objective divided by this value, so that a client that retries between T and
+/// 2 T from now can still be served within the objective.
 const OBJECTIVE_DIVISOR: f64 = 4.0;
 /// T is at most the longest retry-after time that clients honour, divided by this value, so that 2 T is not
 /// above that time.
