--- a/src/node/snapshot/mod.rs
+++ b/src/node/snapshot/mod.rs
@@ -1,10 +1,13 @@
-//! What outlives a process: the operators' overrides and the learned state, in files that the next process
-//! takes over.
+//! Hands state from one process of the node to the next through files: the operators' overrides and what the
+//! node has learned about endpoints.
 //!
 //! A node is replaced by starting a new process alongside the old one, and a process may be killed at any
-//! time. What the operators were answered as done must hold for the next process; what was learned makes
-//! its start smoother. [`store`] has the form of both, [`state_file`] writes them so that a half-written
-//! file is never taken for a complete one, and [`takeover`] keeps two processes in step.
+//! time. An override that was acknowledged with `done` must also hold in the next process. The learned state
+//! is not owed to anybody, but it makes the start of the next process smoother.
+//!
+//! [`store`] defines the content of both files. [`state_file`] writes them in such a way that a partly
+//! written file is never taken for a complete one. [`takeover`] restores them at startup and keeps two
+//! processes that run at the same time in agreement.
 
 mod folder_lock;
 mod process_id;
--- a/src/node/snapshot/process_id.rs
+++ b/src/node/snapshot/process_id.rs
@@ -1,37 +1,42 @@
-//! Which process is meant by a number: the system gives the numbers of processes that have ended to others.
+//! Identifies a process by its pid and its start time.
+//!
+//! A pid alone is not enough: once a process has ended, Linux may give its pid to an unrelated one.
 
 use serde::{Deserialize, Serialize};
 
-/// Fields of `/proc/PID/stat` behind the name, which may hold anything: the state is the first, the start
-/// time the twentieth.
+/// Index of the process state in `/proc/PID/stat`, counted from the first field after the command name. The
+/// name is skipped because it may contain any characters.
 const STATE_FIELD: usize = 0;
+/// Index of the start time in `/proc/PID/stat`, counted from the first field after the command name.
 const START_TIME_FIELD: usize = 19;
 
-/// A process of this machine. No step of the wall clock changes it.
+/// The identity of a process on this machine. It does not depend on the wall clock, so a step of that clock
+/// does not change it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessId {
-    /// The number that the system gave it.
+    /// The pid.
     pub pid: u32,
-    /// When it started, in clock ticks since the machine's start; 0 where the system does not say.
-    pub started: u64,
+    /// When the process started, in clock ticks since the machine booted; 0 if that is unknown.
+    #[serde(rename = "started")]
+    pub start_ticks: u64,
 }
 
 impl ProcessId {
-    /// This process.
-    pub fn own() -> ProcessId {
+    /// The identity of the calling process.
+    pub fn current() -> ProcessId {
         let pid = std::process::id();
-        ProcessId { pid, started: start_time(pid).unwrap_or(0) }
+        ProcessId { pid, start_ticks: start_ticks(pid).unwrap_or(0) }
     }
 
-    /// Whether it still runs, as the same process.
+    /// Whether this process still runs. Another process with the same pid does not count.
     pub fn is_running(&self) -> bool {
-        start_time(self.pid) == Some(self.started)
+        start_ticks(self.pid) == Some(self.start_ticks)
     }
 }
 
-/// When the process of that number started; none where there is none, or it has ended and waits for its
-/// parent.
-fn start_time(pid: u32) -> Option<u64> {
+/// When the process with this pid started, in clock ticks since boot. Returns `None` if there is no such
+/// process, or if it has ended and its parent has not yet collected it (a zombie).
+fn start_ticks(pid: u32) -> Option<u64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let (_, fields) = stat.rsplit_once(") ")?;
     let fields: Vec<&str> = fields.split(' ').collect();
--- a/src/node/snapshot/state_file.rs
+++ b/src/node/snapshot/state_file.rs
@@ -1,8 +1,8 @@
-//! A small file that outlives the process.
+//! Reads and writes a small file that survives a crash of the process.
 //!
-//! Writes and syncs may fail, and a kill may leave a write half done. So the file is replaced in one step
-//! by a draft beside it, a checksum tells a complete file from a truncated one, and the last good one is
-//! kept beside it.
+//! Writes and syncs may fail, and a kill may interrupt a write halfway. New content is therefore written to a
+//! draft file, which then replaces the file by an atomic rename. A checksum distinguishes a complete file from
+//! a truncated or corrupted one, and a last good copy is kept in the same folder.
 
 use super::process_id::ProcessId;
 use std::fs::File;
@@ -10,42 +10,47 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The first line is this word, the version, and the checksum of all that follows the line.
+/// The first word of the first line, which is `MAGIC VERSION CHECKSUM`. The checksum is the CRC-32 of all that
+/// follows the first line, as 8 hexadecimal digits.
 const MAGIC: &str = "node-state";
+/// The version of the file format, the second word of the first line.
 const VERSION: &str = "2";
-/// A longer file was not written by this program, in bytes.
+/// The largest file that is read, in bytes. This program writes no larger one.
 const MAX_BYTES: u64 = 1024 * 1024;
-/// Suffixes of the last good file and of drafts.
+/// Suffix of the last good copy, `NAME.last`.
 const LAST_GOOD_SUFFIX: &str = "last";
+/// Suffix of a draft, `NAME.PID-STARTED.draft`.
 const DRAFT_SUFFIX: &str = "draft";
 
 /// Why a file cannot be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The system cannot read it.
+    /// The operating system cannot read the file.
     #[error("{0}")]
     System(#[from] io::Error),
-    /// It is too long.
-    #[error("{0} bytes are too many")]
+    /// The file is longer than [`MAX_BYTES`]; holds its length in bytes.
+    #[error("a file of {0} bytes is too long")]
     TooLong(u64),
-    /// It was cut, or changed by something else.
+    /// The file was truncated, or modified by something else.
     #[error("the checksum is wrong")]
     Checksum,
-    /// It was not written by this program, or by another version of it.
-    #[error("not a state of version {VERSION}")]
+    /// The first line is not that of this program and format version, or the file is not UTF-8.
+    #[error("not a state file of version {VERSION}")]
     Version,
 }
 
-/// How much of what is written must be on the disk when the call returns.
+/// What a write guarantees when it returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// Other processes see it; the end of the machine may lose it.
+    /// Other processes read the new content; a crash of the machine may lose it.
     Visible,
-    /// All of it is there, and its name.
+    /// The content and the directory entry have been synced to disk, so that they survive a crash of the
+    /// machine.
     Synced,
 }
 
-/// One such file.
+/// A state file in a folder that all processes of the node share, together with its last good copy and its
+/// drafts.
 pub struct StateFile {
     folder: PathBuf,
     name: &'static str,
@@ -53,7 +58,8 @@
 }
 
 impl StateFile {
-    /// The file of that name; nothing is read or written yet. `owner` is the process that writes drafts.
+    /// Refers to the file `name` in `folder` without reading or writing anything. `owner` is the process that
+    /// writes through this value; it is part of the names of the drafts.
     pub fn new(folder: &Path, name: &'static str, owner: ProcessId) -> StateFile {
         StateFile { folder: folder.to_owned(), name, owner }
     }
@@ -67,18 +73,21 @@
     }
 
     fn draft_path(&self) -> PathBuf {
-        let ProcessId { pid, started } = self.owner;
-        self.folder.join(format!("{}.{pid}-{started}.{DRAFT_SUFFIX}", self.name))
+        let ProcessId { pid, start_ticks } = self.owner;
+        self.folder.join(format!("{}.{pid}-{start_ticks}.{DRAFT_SUFFIX}", self.name))
     }
 
-    /// Reads what was written last, as far as an intact file is left; none where nothing was ever written.
+    /// Reads the body of the file, or that of the last good copy if the file is missing or damaged. Returns
+    /// `None` if neither exists.
     ///
     /// # Errors
-    /// Neither the file nor the last good one can be read.
+    /// The file cannot be read, and there is no readable last good copy; or the file is missing, and the last
+    /// good copy cannot be read.
     pub fn read(&self) -> Result<Option<String>, ReadError> {
         match read_checked(&self.path()) {
             Ok(Some(body)) => Ok(Some(body)),
-            // It is absent while another process replaces it.
+            // With `Durability::Visible`, the file is missing for a moment between the two renames of
+            // `write`.
             Ok(None) => read_checked(&self.last_good_path()),
             Err(error) => match read_checked(&self.last_good_path()) {
                 Ok(Some(body)) => Ok(Some(body)),
@@ -87,22 +96,24 @@
         }
     }
 
-    /// Reads a file of version 1, which had neither first line nor checksum.
+    /// Reads a file of format version 1, which was plain JSON without a first line and a checksum. Returns
+    /// `None` if the file does not begin like JSON.
     pub fn read_version_1(&self) -> Option<String> {
         std::fs::read_to_string(self.path()).ok().filter(|text| text.starts_with('{'))
     }
 
-    /// Replaces the file. Where that fails, what stood there before is still read.
+    /// Replaces the file. If a step before the replacement fails, [`StateFile::read`] still returns the previous
+    /// body; if only the sync of the folder fails, it returns the new one.
     ///
-    /// A synced file has two intact copies in the end; otherwise the file before is kept as the last good
-    /// one.
+    /// With [`Durability::Synced`], the last good copy gets the new body as well. With
+    /// [`Durability::Visible`], the previous file becomes the last good copy.
     ///
     /// # Errors
-    /// The system cannot write, sync or rename.
+    /// The operating system cannot write, sync or rename.
     pub fn write(&self, body: &str, durability: Durability) -> io::Result<()> {
         match durability {
             Durability::Visible => {
-                // Only an intact file may take the place of the last good one.
+                // A damaged file must not replace the last good copy.
                 if matches!(read_checked(&self.path()), Ok(Some(_))) {
                     std::fs::rename(self.path(), self.last_good_path())?;
                 }
@@ -110,29 +121,30 @@
             }
             Durability::Synced => {
                 self.replace(&self.path(), body, durability)?;
-                // The file is there for good already; the copy is for a disk that spoils it later.
+                // The file is already durable. The copy protects against later corruption on the disk, so a
+                // failure to write the copy is not an error.
                 let _ = self.replace(&self.last_good_path(), body, durability);
                 Ok(())
             }
         }
     }
 
-    /// Replaces one file in one step.
+    /// Writes a draft and renames it to `path`, so that readers see either the old or the new file.
     fn replace(&self, path: &Path, body: &str, durability: Durability) -> io::Result<()> {
         let draft = self.draft_path();
-        let written = write_draft(&draft, body, durability).and_then(|()| std::fs::rename(&draft, path));
-        if written.is_err() {
-            // It may not be there, and the next draft replaces it.
+        let replaced = write_draft(&draft, body, durability).and_then(|()| std::fs::rename(&draft, path));
+        if replaced.is_err() {
+            // An error here is harmless: the draft may not exist, and the next write overwrites it.
             let _ = std::fs::remove_file(&draft);
         }
-        written?;
+        replaced?;
         match durability {
             Durability::Visible => Ok(()),
             Durability::Synced => File::open(&self.folder)?.sync_all(),
         }
     }
 
-    /// Removes drafts of processes that have ended.
+    /// Removes drafts that processes left behind when they ended in the middle of a write.
     pub fn remove_stale_drafts(&self) {
         let Ok(entries) = std::fs::read_dir(&self.folder) else { return };
         for entry in entries.flatten() {
@@ -144,15 +156,16 @@
         }
     }
 
-    /// The process that writes a draft of that name.
+    /// The process whose draft has this file name. Returns `None` if `name` is not that of a draft of this
+    /// file.
     fn draft_writer(&self, name: &str) -> Option<ProcessId> {
         let writer = name.strip_prefix(self.name)?.strip_prefix('.')?;
-        let (pid, started) = match writer.strip_suffix(DRAFT_SUFFIX) {
+        let (pid, start_ticks) = match writer.strip_suffix(DRAFT_SUFFIX) {
             Some(writer) => writer.strip_suffix('.')?.split_once('-')?,
-            // Earlier versions wrote the number alone.
+            // Earlier versions named a draft `NAME.PID`.
             None => (writer, "0"),
         };
-        Some(ProcessId { pid: pid.parse().ok()?, started: started.parse().ok()? })
+        Some(ProcessId { pid: pid.parse().ok()?, start_ticks: start_ticks.parse().ok()? })
     }
 }
 
@@ -166,7 +179,8 @@
     }
 }
 
-/// The body of a file whose checksum is right; none where there is no file.
+/// Reads a file and verifies its checksum; the body is what follows the first line. Returns `None` if there is
+/// no file.
 fn read_checked(path: &Path) -> Result<Option<String>, ReadError> {
     let length = match std::fs::metadata(path) {
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
@@ -176,21 +190,22 @@
         return Err(ReadError::TooLong(length));
     }
     let bytes = match std::fs::read(path) {
-        // Another process has just moved it.
+        // Another process has renamed the file since its length was read.
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
         read => read?,
     };
     let text = String::from_utf8(bytes).map_err(|_| ReadError::Version)?;
     let (first_line, body) = text.split_once('\n').ok_or(ReadError::Version)?;
-    let expected = checksum_of(first_line).ok_or(ReadError::Version)?;
+    let expected = parse_first_line(first_line).ok_or(ReadError::Version)?;
     if expected != crc32fast::hash(body.as_bytes()) {
         return Err(ReadError::Checksum);
     }
     Ok(Some(body.to_owned()))
 }
 
-/// The checksum in the first line of a file of this version.
-fn checksum_of(first_line: &str) -> Option<u32> {
+/// The checksum that the first line states. Returns `None` if it is not the first line of a file of this format
+/// version.
+fn parse_first_line(first_line: &str) -> Option<u32> {
     let version_and_checksum = first_line.strip_prefix(MAGIC)?.trim_start();
     let checksum = version_and_checksum.strip_prefix(VERSION)?.trim_start();
     u32::from_str_radix(checksum, 16).ok()
--- a/src/node/snapshot/store.rs
+++ b/src/node/snapshot/store.rs
@@ -1,9 +1,11 @@
-//! The form of what one process leaves to the next, in two files.
+//! Defines the two files that one process leaves to the next, and reads and writes them.
 //!
-//! `node-calls.json` has the operators' overrides, which endpoints are out of service. They are owed once a
-//! command was answered, so they are on the disk by then. `node-state.json` has what the serving process is
-//! and has learned; it is written now and then, and a new process can do without. The names of their keys
-//! stay as they are: processes of different versions read each other's files.
+//! `node-calls.json` contains the operators' overrides: the endpoints that are out of service. An override must
+//! hold from the moment that its command is answered, so it is synced to disk before the answer.
+//! `node-state.json` contains the identity of the serving process and what that process has learned about
+//! endpoints. It is written periodically, and a new process can start without it.
+//!
+//! The names of the JSON keys must not change, since processes of different versions read each other's files.
 
 use super::process_id::ProcessId;
 use super::state_file::{Durability, ReadError, StateFile};
@@ -20,35 +22,36 @@
 /// Why a file cannot be used.
 #[derive(Debug, Error)]
 pub enum SnapshotError {
-    /// It cannot be read.
+    /// The file cannot be read, or is damaged.
     #[error("{file}: {cause}")]
     Read {
-        /// The file.
+        /// The file name, without its folder.
         file: &'static str,
-        /// Why.
+        /// The error of the operating system, or the check that the file failed.
         cause: ReadError,
     },
-    /// What it holds is not understood.
+    /// The file is intact, but its body is not JSON of the expected form.
     #[error("{file}: {cause}")]
     Content {
-        /// The file.
+        /// The file name, without its folder.
         file: &'static str,
-        /// Why.
+        /// The parse error.
         cause: serde_json::Error,
     },
 }
 
-/// Which endpoints are out of service by the operators' commands.
+/// The endpoints that operators have taken out of service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OperatorOverrides {
-    /// How many commands have changed that: of two records the one with the higher revision holds.
+    /// Grows with each change of the overrides. If two processes disagree, the overrides with the higher
+    /// revision apply.
     #[serde(rename = "number")]
     pub revision: u64,
     disabled: BTreeSet<u64>,
 }
 
 impl OperatorOverrides {
-    /// A record of these endpoints.
+    /// Overrides that have `disabled` out of service and all other endpoints in service.
     pub fn new(revision: u64, disabled: &BTreeSet<EndpointId>) -> OperatorOverrides {
         OperatorOverrides { revision, disabled: disabled.iter().map(|id| id.0).collect() }
     }
@@ -59,29 +62,30 @@
     }
 }
 
-/// What the serving process is, and has learned.
+/// The identity of the serving process and what it has learned about endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProcessRecord {
-    /// The process.
+    /// The process that wrote this record. Its fields stand directly in the record's JSON object.
     #[serde(flatten)]
     pub process: ProcessId,
-    /// The version of discovery's list that it had.
+    /// The version of the endpoint list that the process had from discovery; `None` before it had any.
     #[serde(rename = "list")]
     pub list_version: Option<u64>,
-    /// What it has learned of endpoints.
+    /// One entry for each endpoint in the process's snapshot.
     #[serde(rename = "servers")]
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// What a process has learned of an endpoint. Times are spans: neither the clock of another process nor the
-/// wall clock, which may be stepped, can tell a moment.
+/// What a process has learned about an endpoint. Times are stored as durations: each process has a monotonic
+/// clock of its own, and the wall clock may be stepped, so neither can express a point in time that the next
+/// process could use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRecord {
     id: u64,
-    /// For how long its slow start has lasted, if that is not over.
+    /// How long ago the endpoint's slow start began; `None` if the endpoint is not in slow start.
     #[serde(rename = "cold_for_ms")]
     slow_start_elapsed_ms: Option<f64>,
-    /// How long until its trial, if it is congested.
+    /// Time until the endpoint's trial (its PRAT); `None` if the endpoint is not congested.
     trial_in_ms: Option<f64>,
     #[serde(rename = "cap")]
     concurrency_limit: f64,
@@ -90,7 +94,7 @@
 }
 
 impl EndpointRecord {
-    /// The record of a snapshot taken at `now_ms`.
+    /// Converts a snapshot that was taken at `now_ms`, in milliseconds on the monotonic clock of this process.
     pub fn new(snapshot: &EndpointSnapshot, now_ms: f64) -> EndpointRecord {
         EndpointRecord {
             id: snapshot.endpoint.0,
@@ -101,64 +105,70 @@
         }
     }
 
-    /// The snapshot, as if no time had passed since it was written. How long that is cannot be known, and
-    /// an endpoint that is in slow start or congested for longer than need be breaks no rule.
-    pub fn snapshot(&self, now_ms: f64) -> EndpointSnapshot {
+    /// Converts the record back to a snapshot, as if it had been written at `now_ms`, in milliseconds on the
+    /// monotonic clock of this process. The time since it was really written is unknown. Counting it as zero
+    /// is safe: it can only prolong a slow start or postpone a trial.
+    pub fn to_snapshot(&self, now_ms: f64) -> EndpointSnapshot {
         EndpointSnapshot {
             endpoint: EndpointId(self.id),
-            started_at_ms: self.slow_start_elapsed_ms.map(|span| now_ms - span.max(0.0)),
-            prat_ms: self.trial_in_ms.map(|span| now_ms + span.max(0.0)),
+            started_at_ms: self.slow_start_elapsed_ms.map(|elapsed_ms| now_ms - elapsed_ms.max(0.0)),
+            prat_ms: self.trial_in_ms.map(|remaining_ms| now_ms + remaining_ms.max(0.0)),
             concurrency_limit: self.concurrency_limit,
             served_per_second: self.served_per_second,
         }
     }
 }
 
-/// Both records.
+/// All that a process of format version 1 left in its single file.
 #[derive(Debug, PartialEq)]
-pub struct Records {
-    /// The operators' overrides.
+pub struct Version1Records {
+    /// The operators' overrides at that time.
     pub overrides: OperatorOverrides,
-    /// The serving process.
+    /// The serving process, without endpoints.
     pub process: ProcessRecord,
 }
 
-/// The process file of version 1, which contained both records. Its times are of the wall clock and not
-/// used.
+/// `node-state.json` of format version 1, which contained the overrides as well. Its record of the endpoints is
+/// not read, because its times are wall clock times.
 #[derive(Debug, Deserialize)]
-struct Version1 {
+struct Version1File {
     version: u64,
     pid: u32,
-    calls: u64,
-    out: Vec<String>,
-    list: Option<u64>,
+    #[serde(rename = "calls")]
+    override_revision: u64,
+    /// Ids of the disabled endpoints, in hexadecimal.
+    #[serde(rename = "out")]
+    disabled: Vec<String>,
+    #[serde(rename = "list")]
+    list_version: Option<u64>,
 }
 
-impl Version1 {
-    /// What a file of version 1 contains; none where it is none.
-    fn parse(text: &str) -> Option<Records> {
-        let first: Version1 = serde_json::from_str(text).ok()?;
-        if first.version != 1 {
+impl Version1File {
+    /// Returns `None` if `text` is not a file of version 1.
+    fn parse(text: &str) -> Option<Version1Records> {
+        let file: Version1File = serde_json::from_str(text).ok()?;
+        if file.version != 1 {
             return None;
         }
         let disabled: Option<BTreeSet<u64>> =
-            first.out.iter().map(|id| u64::from_str_radix(id, 16).ok()).collect();
-        let process = ProcessId { pid: first.pid, started: 0 };
-        Some(Records {
-            overrides: OperatorOverrides { revision: first.calls, disabled: disabled? },
-            process: ProcessRecord { process, list_version: first.list, endpoints: Vec::new() },
+            file.disabled.iter().map(|id| u64::from_str_radix(id, 16).ok()).collect();
+        let process = ProcessId { pid: file.pid, start_ticks: 0 };
+        Some(Version1Records {
+            overrides: OperatorOverrides { revision: file.override_revision, disabled: disabled? },
+            process: ProcessRecord { process, list_version: file.list_version, endpoints: Vec::new() },
         })
     }
 }
 
-/// The two files in the folder that all processes of the node share.
+/// The two files, in the folder that all processes of the node share.
 pub struct SnapshotStore {
     overrides_file: StateFile,
     process_file: StateFile,
 }
 
 impl SnapshotStore {
-    /// The store in a folder, written by a process.
+    /// Refers to the files in `folder` without reading or writing anything. `owner` is the process that writes
+    /// through this store.
     pub fn new(folder: &Path, owner: ProcessId) -> SnapshotStore {
         SnapshotStore {
             overrides_file: StateFile::new(folder, OVERRIDES_FILE, owner),
@@ -166,51 +176,51 @@
         }
     }
 
-    /// The operators' overrides; none where none were ever written.
+    /// Reads the operators' overrides. Returns `None` if none were ever written.
     ///
     /// # Errors
-    /// The file cannot be read or understood.
+    /// The file cannot be read, is damaged, or does not contain overrides.
     pub fn read_overrides(&self) -> Result<Option<OperatorOverrides>, SnapshotError> {
         parse(OVERRIDES_FILE, self.overrides_file.read())
     }
 
-    /// The record of the serving process; none where none was ever written.
+    /// Reads the record of the serving process. Returns `None` if none was ever written.
     ///
     /// # Errors
-    /// The file cannot be read or understood.
+    /// The file cannot be read, is damaged, or does not contain a process record.
     pub fn read_process(&self) -> Result<Option<ProcessRecord>, SnapshotError> {
         parse(PROCESS_FILE, self.process_file.read())
     }
 
-    /// Both records, where a process of version 1 left them.
-    pub fn read_version_1(&self) -> Option<Records> {
-        self.process_file.read_version_1().and_then(|text| Version1::parse(&text))
+    /// Reads a file of format version 1. Returns `None` if there is no such file.
+    pub fn read_version_1(&self) -> Option<Version1Records> {
+        self.process_file.read_version_1().and_then(|text| Version1File::parse(&text))
     }
 
     /// Writes the operators' overrides.
     ///
     /// # Errors
-    /// They could not be written to disk.
+    /// The operating system cannot write, sync or rename the file.
     pub fn write_overrides(&self, overrides: &OperatorOverrides, durability: Durability) -> io::Result<()> {
         self.overrides_file.write(&to_json(overrides), durability)
     }
 
-    /// Writes the record of the serving process.
+    /// Writes the record of the serving process, without syncing it.
     ///
     /// # Errors
-    /// It could not be written to disk.
+    /// The operating system cannot write or rename the file.
     pub fn write_process(&self, record: &ProcessRecord) -> io::Result<()> {
         self.process_file.write(&to_json(record), Durability::Visible)
     }
 
-    /// Removes what processes that have ended left half done.
+    /// Removes drafts of both files that processes left behind when they ended in the middle of a write.
     pub fn remove_stale_drafts(&self) {
         self.overrides_file.remove_stale_drafts();
         self.process_file.remove_stale_drafts();
     }
 }
 
-/// Understands what one of the files holds.
+/// Parses the body that was read from `file`.
 fn parse<T: for<'a> Deserialize<'a>>(
     file: &'static str,
     read: Result<Option<String>, ReadError>,
@@ -224,7 +234,7 @@
     }
 }
 
-/// Such plain data has no form that cannot be written.
+/// Serializes one of the records. This cannot fail: a record consists of numbers, lists and string keys only.
 fn to_json(value: &impl Serialize) -> String {
     serde_json::to_string(value).unwrap_or_default()
 }
--- a/src/node/snapshot/takeover.rs
+++ b/src/node/snapshot/takeover.rs
@@ -1,13 +1,14 @@
-//! How a process takes over from the one before it, and keeps in step with one that runs alongside it.
+//! Takes over the state of the previous process at startup, and keeps the overrides of two processes that run
+//! at the same time in agreement.
 //!
-//! While two processes run, the operators may command either. Each command that changes which endpoints are
-//! out of service raises a revision in the file, and a process that finds a higher one than its own takes
-//! that over.
+//! While the old and the new process both run, operators may send commands to either. Each command that
+//! changes which endpoints are out of service increments the revision of the overrides in the file. Each
+//! process reads the file periodically and adopts overrides whose revision is higher than that of its own.
 
 use super::folder_lock::{FolderLock, LockError};
 use super::process_id::ProcessId;
 use super::state_file::Durability;
-use super::store::{EndpointRecord, OperatorOverrides, ProcessRecord, Records, SnapshotStore};
+use super::store::{EndpointRecord, OperatorOverrides, ProcessRecord, SnapshotStore, Version1Records};
 use crate::driver::{Driver, DriverEvent};
 use crate::observability::log;
 use crate::system::retry::retry;
@@ -21,136 +22,148 @@
 use tokio::time::MissedTickBehavior;
 use wheelpath::policy::EndpointId;
 
-/// How often the files are compared with this process, and in how many of those turns the process record is
-/// written.
-const COMPARE_INTERVAL: Duration = Duration::from_millis(200);
-const TURNS_PER_RECORD: u32 = 5;
-/// A command has to be answered within a second: an override is retried for this long, and this often.
+/// How often this process compares its overrides with those in the file and looks which process the process
+/// record names.
+const SYNC_INTERVAL: Duration = Duration::from_millis(200);
+/// The process record is written in one of this many comparisons, so once a second.
+const SYNCS_PER_PROCESS_RECORD: u32 = 5;
+/// For how long a failed override is retried. The command has to be answered within a second.
 const OVERRIDE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Pause between two attempts to make an override.
 const OVERRIDE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why an override was not made.
 #[derive(Debug, Error)]
 pub enum OverrideError {
-    /// Another process is about to change the overrides, or there can be no lock.
+    /// Another process holds the lock because it is changing the overrides, or the lock file is unusable.
     #[error(transparent)]
     Lock(#[from] LockError),
-    /// It could not be written to disk.
-    #[error("cannot be kept: {0}")]
+    /// The override could not be written to disk.
+    #[error("the change cannot be stored: {0}")]
     Write(#[from] io::Error),
 }
 
-/// What this process leaves to the next, and shares with one that runs alongside it.
+/// The state that this process leaves to the next one and shares with a process that runs at the same time.
 pub struct Takeover {
     folder: PathBuf,
     store: SnapshotStore,
-    own: ProcessId,
-    /// The revision of the overrides that this process goes by.
+    own_process: ProcessId,
+    /// The revision of the overrides that this process applies.
     override_revision: Cell<u64>,
-    /// The version of discovery's list that this process has.
+    /// The version of the endpoint list that this process has from discovery; shared with the discovery watch,
+    /// which sets it.
     list_version: Rc<Cell<Option<u64>>>,
-    /// The process that this one took over from.
+    /// The process whose record this one found at startup.
     predecessor: Cell<Option<ProcessId>>,
-    /// The process that serves alongside this one.
-    coexisting: Cell<Option<ProcessId>>,
-    /// The process record names this process.
-    declared: Cell<bool>,
+    /// Another process of the node that serves at the same time as this one.
+    concurrent_process: Cell<Option<ProcessId>>,
+    /// Whether this process has written a process record that names itself.
+    has_written_record: Cell<bool>,
 }
 
 impl Takeover {
-    /// In the folder for temporary files, which all processes of the node share.
+    /// Uses the folder for temporary files, which all processes of the node share. Reads and writes nothing
+    /// yet.
     pub fn new(list_version: Rc<Cell<Option<u64>>>) -> Rc<Takeover> {
         let folder = std::env::temp_dir();
-        let own = ProcessId::own();
+        let own_process = ProcessId::current();
         Rc::new(Takeover {
-            store: SnapshotStore::new(&folder, own),
+            store: SnapshotStore::new(&folder, own_process),
             folder,
-            own,
+            own_process,
             override_revision: Cell::new(0),
             list_version,
             predecessor: Cell::new(None),
-            coexisting: Cell::new(None),
-            declared: Cell::new(false),
+            concurrent_process: Cell::new(None),
+            has_written_record: Cell::new(false),
         })
     }
 
-    /// Takes over what the process before this one left, and declares this one the serving one. True if
-    /// that process knew a newer endpoint list than the one given here.
+    /// Restores the state that the previous process left, and writes a process record that names this process
+    /// as the serving one. Returns true if the previous process had a newer endpoint list than this one has
+    /// been started with.
     pub fn take_over(&self, driver: &Rc<Driver>) -> bool {
         let (overrides, process) = match self.store.read_version_1() {
-            Some(Records { overrides, process }) => (Ok(Some(overrides)), Ok(Some(process))),
+            Some(Version1Records { overrides, process }) => (Ok(Some(overrides)), Ok(Some(process))),
             None => (self.store.read_overrides(), self.store.read_process()),
         };
         match overrides {
-            Ok(Some(overrides)) => self.take_overrides(&overrides, driver),
+            Ok(Some(overrides)) => self.restore_overrides(&overrides, driver),
             Ok(None) => {}
             Err(error) => {
-                log::line(&format!("handover: calls cannot be used, starts without: {error}"));
+                log::line(&format!(
+                    "handover: the operators' overrides cannot be used, starting without them: {error}"
+                ));
             }
         }
         let is_behind = match process {
-            Ok(Some(record)) => self.take_process(&record, driver),
+            Ok(Some(record)) => self.restore_process_record(&record, driver),
             Ok(None) => {
-                log::line("handover: no state, starts without");
+                log::line("handover: no state of an earlier process found, starting without it");
                 false
             }
             Err(error) => {
-                log::line(&format!("handover: state cannot be used, starts without: {error}"));
+                log::line(&format!(
+                    "handover: the state of the earlier process cannot be used, starting without it: {error}"
+                ));
                 false
             }
         };
         self.store.remove_stale_drafts();
-        self.write_record(driver);
+        self.write_process_record(driver);
         is_behind
     }
 
-    fn take_overrides(&self, overrides: &OperatorOverrides, driver: &Rc<Driver>) {
+    fn restore_overrides(&self, overrides: &OperatorOverrides, driver: &Rc<Driver>) {
         let disabled = overrides.disabled();
-        log::line(&format!("handover: {} out of service by earlier calls", disabled.len()));
+        log::line(&format!("handover: {} out of service by earlier commands", disabled.len()));
         self.override_revision.set(overrides.revision);
         disabled.into_iter().for_each(|id| driver.take(DriverEvent::Disable(id)));
     }
 
-    fn take_process(&self, record: &ProcessRecord, driver: &Rc<Driver>) -> bool {
+    /// Returns true if the process that wrote the record had a newer endpoint list than this one has been
+    /// started with.
+    fn restore_process_record(&self, record: &ProcessRecord, driver: &Rc<Driver>) -> bool {
         let is_behind = record.list_version > self.list_version.get();
-        let newer = if is_behind { ", a newer list than the one given here" } else { "" };
+        let newer_list =
+            if is_behind { ", its endpoint list is newer than the configured one" } else { "" };
         let (pid, endpoints) = (record.process.pid, record.endpoints.len());
-        log::line(&format!("handover: from process {pid}: {endpoints} servers{newer}"));
+        log::line(&format!("handover: took over from process {pid}: {endpoints} servers{newer_list}"));
         let now_ms = driver.clock.now_ms();
-        let snapshot = record.endpoints.iter().map(|endpoint| endpoint.snapshot(now_ms)).collect();
+        let snapshot = record.endpoints.iter().map(|endpoint| endpoint.to_snapshot(now_ms)).collect();
         driver.take(DriverEvent::SnapshotRestored(snapshot));
         self.predecessor.set(Some(record.process));
         self.observe_process(record.process, driver);
         is_behind
     }
 
-    fn write_record(&self, driver: &Driver) {
+    fn write_process_record(&self, driver: &Driver) {
         let now_ms = driver.clock.now_ms();
         let snapshot = driver.snapshot();
         let record = ProcessRecord {
-            process: self.own,
+            process: self.own_process,
             list_version: self.list_version.get(),
             endpoints: snapshot.iter().map(|endpoint| EndpointRecord::new(endpoint, now_ms)).collect(),
         };
         match self.store.write_process(&record) {
-            Ok(()) => self.declared.set(true),
-            Err(error) => log::line(&format!("handover: state not written: {error}")),
+            Ok(()) => self.has_written_record.set(true),
+            Err(error) => log::line(&format!("handover: cannot write the process record: {error}")),
         }
     }
 
-    /// Writes the process record, unless another process has taken over.
-    fn write_record_if_serving(&self, driver: &Driver) {
-        if !self.is_succeeded() {
-            self.write_record(driver);
+    /// Writes the process record, unless a successor has taken over: the record must then name the successor.
+    fn write_process_record_if_serving(&self, driver: &Driver) {
+        if !self.has_successor() {
+            self.write_process_record(driver);
         }
     }
 
-    /// Takes an endpoint out of service or puts it back; the change is durable once this returns. True if
-    /// that changed anything.
+    /// Takes an endpoint out of service or puts it back. The change is durable when this returns `Ok`; the value
+    /// is true if the endpoint was not in that state already.
     ///
     /// # Errors
-    /// Nothing has changed: the lock was held by another process, or the change could not be written, until
-    /// the timeout.
+    /// Until the timeout, another process held the lock or the change could not be written. The overrides of
+    /// this process are unchanged, apart from newer ones of another process that it has adopted.
     pub async fn set_disabled(
         &self,
         driver: &Rc<Driver>,
@@ -159,8 +172,8 @@
     ) -> Result<bool, OverrideError> {
         let give_up_at = Instant::now() + OVERRIDE_TIMEOUT;
         let attempt = || self.try_set_disabled(driver, endpoint, disable);
-        let is_in_time = |_: &OverrideError| Instant::now() + OVERRIDE_RETRY_INTERVAL < give_up_at;
-        retry(OVERRIDE_RETRY_INTERVAL, attempt, is_in_time).await
+        let has_time_to_retry = |_: &OverrideError| Instant::now() + OVERRIDE_RETRY_INTERVAL < give_up_at;
+        retry(OVERRIDE_RETRY_INTERVAL, attempt, has_time_to_retry).await
     }
 
     fn try_set_disabled(
@@ -169,42 +182,43 @@
         endpoint: EndpointId,
         disable: bool,
     ) -> Result<bool, OverrideError> {
-        // No other process may change the overrides between this one's read and its write.
+        // Held until this returns: no other process may change the overrides between the read and the write
+        // below.
         let _lock = FolderLock::try_acquire(&self.folder)?;
         let stored = self.stored_overrides();
         if stored.revision > self.override_revision.get() {
-            self.adopt(&stored, driver);
+            self.adopt_overrides(&stored, driver);
         }
-        let known = driver.disabled();
-        let mut wanted = known.clone();
-        let changes = if disable { wanted.insert(endpoint) } else { wanted.remove(&endpoint) };
-        if !changes && stored.revision == self.override_revision.get() {
+        let current = driver.disabled();
+        let mut requested = current.clone();
+        let has_changed = if disable { requested.insert(endpoint) } else { requested.remove(&endpoint) };
+        if !has_changed && stored.revision == self.override_revision.get() {
             return Ok(false);
         }
         let revision = stored.revision.max(self.override_revision.get()) + 1;
-        self.store_overrides(revision, &wanted, &known)?;
-        if changes {
+        self.store_overrides(revision, &requested, &current)?;
+        if has_changed {
             driver.take(if disable {
                 DriverEvent::Disable(endpoint)
             } else {
                 DriverEvent::Enable(endpoint)
             });
-            // An enabled endpoint starts slowly from now on, which the next process has to know, however
-            // soon it follows.
-            self.write_record_if_serving(driver);
+            // An endpoint that was enabled is in slow start from now on. The next process needs to know that
+            // even if it starts before the next periodic write.
+            self.write_process_record_if_serving(driver);
         }
-        Ok(changes)
+        Ok(has_changed)
     }
 
-    /// Writes the wanted overrides durably. If that fails after they became visible to other processes, the
-    /// overrides known before are written under a later revision.
+    /// Writes the requested overrides durably. If that fails after they became visible to other processes,
+    /// writes the current overrides again under a later revision, so that the others revert, too.
     fn store_overrides(
         &self,
         revision: u64,
-        wanted: &BTreeSet<EndpointId>,
-        known: &BTreeSet<EndpointId>,
+        requested: &BTreeSet<EndpointId>,
+        current: &BTreeSet<EndpointId>,
     ) -> io::Result<()> {
-        let written = self.write_overrides(revision, wanted, Durability::Synced);
+        let written = self.write_overrides(revision, requested, Durability::Synced);
         if written.is_ok() {
             self.override_revision.set(revision);
             return written;
@@ -215,8 +229,9 @@
             .is_ok_and(|stored| stored.is_some_and(|stored| stored.revision == revision));
         if is_visible {
             self.override_revision.set(revision + 1);
-            // If this fails, too, the next comparison tries again.
-            let _ = self.write_overrides(revision + 1, known, Durability::Visible);
+            // If this write fails as well, `sync_overrides` repeats it: the revision in the file is then lower
+            // than that of this process.
+            let _ = self.write_overrides(revision + 1, current, Durability::Visible);
         }
         written
     }
@@ -230,87 +245,93 @@
         self.store.write_overrides(&OperatorOverrides::new(revision, disabled), durability)
     }
 
-    /// The overrides on the disk, as far as they can be read.
+    /// The overrides in the file. If the file is missing or cannot be read: no overrides, at revision 0.
     fn stored_overrides(&self) -> OperatorOverrides {
         self.store.read_overrides().ok().flatten().unwrap_or_default()
     }
 
-    /// Has this process go by overrides that another one made.
-    fn adopt(&self, overrides: &OperatorOverrides, driver: &Rc<Driver>) {
+    /// Applies overrides that another process stored.
+    fn adopt_overrides(&self, overrides: &OperatorOverrides, driver: &Rc<Driver>) {
         self.override_revision.set(overrides.revision);
-        let known = driver.disabled();
-        let wanted = overrides.disabled();
-        wanted.difference(&known).for_each(|id| driver.take(DriverEvent::Disable(*id)));
-        known.difference(&wanted).for_each(|id| driver.take(DriverEvent::Enable(*id)));
-        log::line(&format!("handover: call {}: {} out of service", overrides.revision, wanted.len()));
+        let current = driver.disabled();
+        let stored = overrides.disabled();
+        stored.difference(&current).for_each(|id| driver.take(DriverEvent::Disable(*id)));
+        current.difference(&stored).for_each(|id| driver.take(DriverEvent::Enable(*id)));
+        log::line(&format!(
+            "handover: adopted override revision {}: {} out of service",
+            overrides.revision,
+            stored.len()
+        ));
     }
 
-    /// Brings the overrides of this process and those on the disk together.
-    fn compare_overrides(&self, driver: &Rc<Driver>) {
+    /// Compares the overrides of this process with those in the file; the higher revision replaces the lower
+    /// one.
+    fn sync_overrides(&self, driver: &Rc<Driver>) {
         if self.stored_overrides().revision == self.override_revision.get() {
             return;
         }
-        // While another process is changing them there is nothing to compare; the next comparison comes soon.
+        // If another process is changing the overrides right now, the next comparison sees the result.
         let Ok(_lock) = FolderLock::try_acquire(&self.folder) else { return };
         let stored = self.stored_overrides();
         let revision = self.override_revision.get();
         if stored.revision > revision {
-            self.adopt(&stored, driver);
+            self.adopt_overrides(&stored, driver);
         } else if stored.revision < revision {
-            // Overrides that operators were answered for are gone from the disk.
+            // The file no longer has overrides that were acknowledged to operators, so they are written again.
             if let Err(error) = self.write_overrides(revision, &driver.disabled(), Durability::Synced) {
-                log::line(&format!("handover: calls not written: {error}"));
+                log::line(&format!("handover: cannot write the operators' overrides: {error}"));
             }
         }
     }
 
-    /// Whether another process has taken over and runs.
-    pub fn is_succeeded(&self) -> bool {
+    /// Whether another process has taken over from this one and still runs.
+    pub fn has_successor(&self) -> bool {
         self.serving_process().is_some_and(|process| self.is_successor(process))
     }
 
-    /// The process that the record names as the serving one.
+    /// The process that the process record names. Returns `None` if the record is missing or cannot be read.
     fn serving_process(&self) -> Option<ProcessId> {
         self.store.read_process().ok().flatten().map(|record| record.process)
     }
 
-    /// Whether that is another running process that is not the predecessor: the predecessor may have
-    /// written its record once more just after this process declared itself.
+    /// Whether `process` is another running process and not the predecessor. The record may name the
+    /// predecessor, because that process may have written it once more just after this one did.
     fn is_successor(&self, process: ProcessId) -> bool {
         self.is_other_running(process) && self.predecessor.get() != Some(process)
     }
 
     fn is_other_running(&self, process: ProcessId) -> bool {
-        process != self.own && process.is_running()
+        process != self.own_process && process.is_running()
     }
 
-    /// Notifies the decisions when another process begins to serve alongside this one, and the log when it
-    /// has gone, too.
+    /// Takes note of the process that the process record names. Notifies the balancer when another process
+    /// begins to serve at the same time as this one, and logs when that begins and ends.
     fn observe_process(&self, process: ProcessId, driver: &Rc<Driver>) {
-        match self.coexisting.get() {
+        match self.concurrent_process.get() {
             None if self.is_other_running(process) => {
-                log::line(&format!("handover: process {} serves beside this one", process.pid));
-                self.coexisting.set(Some(process));
+                log::line(&format!("handover: process {} serves alongside this one", process.pid));
+                self.concurrent_process.set(Some(process));
                 driver.take(DriverEvent::HandoverStarted);
             }
             Some(other) if !self.is_other_running(other) => {
-                log::line(&format!("handover: process {} has gone", other.pid));
-                self.coexisting.set(None);
+                log::line(&format!("handover: process {} has ended", other.pid));
+                self.concurrent_process.set(None);
             }
             _ => {}
         }
     }
 
-    /// Keeps the files and this process in step for as long as the process lives.
+    /// Compares this process with the files periodically, and writes the process record, for as long as the
+    /// process lives.
     pub async fn run(self: Rc<Self>, driver: Rc<Driver>) {
-        let mut turns = tokio::time::interval(COMPARE_INTERVAL);
-        turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        for turn in 0_u32.. {
-            turns.tick().await;
-            self.observe_process(self.serving_process().unwrap_or(self.own), &driver);
-            self.compare_overrides(&driver);
-            if turn % TURNS_PER_RECORD == 0 || !self.declared.get() {
-                self.write_record_if_serving(&driver);
+        let mut ticks = tokio::time::interval(SYNC_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        for tick in 0_u32.. {
+            ticks.tick().await;
+            self.observe_process(self.serving_process().unwrap_or(self.own_process), &driver);
+            self.sync_overrides(&driver);
+            if tick % SYNCS_PER_PROCESS_RECORD == 0 || !self.has_written_record.get() {
+                self.write_process_record_if_serving(&driver);
             }
         }
     }
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -241,7 +241,7 @@
     /// Ends the node: what was taken is answered, as far as there is time, and the rest is failed.
     async fn stop(self, longest_deadline: Duration) {
         let Node { driver, frontend, takeover, accepting } = self;
-        let is_succeeded = takeover.is_some_and(|takeover| takeover.is_succeeded());
+        let is_succeeded = takeover.is_some_and(|takeover| takeover.has_successor());
         let new_connections =
             if is_succeeded { "a successor takes new connections" } else { "answers what comes" };
         log::line(&format!("told to stop: {new_connections}; answers what is there, then ends"));
--- a/tests/node_durable_overrides.rs
+++ b/tests/node_durable_overrides.rs
@@ -173,7 +173,7 @@
     next.terminate();
     assert!(next.wait_for_exit().success());
     let log = next.log();
-    assert!(!log.contains("beside this one") && !log.contains("successor"), "{log}");
+    assert!(!log.contains("alongside this one") && !log.contains("successor"), "{log}");
 }
 
 #[test]
--- a/tests/node_handover.rs
+++ b/tests/node_handover.rs
@@ -165,8 +165,8 @@
     let folder = folder("garbled");
     for (text, why) in [
         (&b"{\"version\":1,\"pid\":1,\"calls\":"[..], "cannot be used"),
-        (b"{\"version\":2}", "not a state of version 2"),
-        (b"node-state 3 00000000\n", "not a state of version 2"),
+        (b"{\"version\":2}", "not a state file of version 2"),
+        (b"node-state 3 00000000\n", "not a state file of version 2"),
         (b"node-state 2 00000000\n{}", "the checksum is wrong"),
         (state::with_checksum("{\"pid\":1}").as_bytes(), "cannot be used"),
         (b"\xff\x00", "cannot be used"),
@@ -182,7 +182,7 @@
         node.terminate();
         assert!(node.wait_for_exit().success());
         let log = node.log();
-        assert!(log.contains("starts without") && log.contains(why), "{log}");
+        assert!(log.contains("starting without") && log.contains(why), "{log}");
     }
     let _ = std::fs::remove_dir_all(folder);
 }
@@ -222,7 +222,7 @@
     assert!(kept.response().is_none());
     ask_many(&new, 20);
     let log = old.log();
-    let met = |pid: u32| format!("handover: process {pid} serves beside this one");
+    let met = |pid: u32| format!("handover: process {pid} serves alongside this one");
     assert_eq!(log.matches(&met(new.pid())).count(), 1, "{log}");
     new.terminate();
     assert!(new.wait_for_exit().success());
@@ -259,7 +259,11 @@
         }
         node.terminate();
         assert!(node.wait_for_exit().success());
-        assert_eq!(node.log().contains("a newer list than the one given here"), behind, "{list}");
+        assert_eq!(
+            node.log().contains("its endpoint list is newer than the configured one"),
+            behind,
+            "{list}"
+        );
     }
     let _ = std::fs::remove_dir_all(folder);
 }
@@ -309,7 +313,7 @@
     assert!(new.wait_for_exit().success());
     let log = new.log();
     assert!(
-        log.contains(&format!("{MANY} servers")) && log.contains("1 out of service by earlier calls"),
+        log.contains(&format!("{MANY} servers")) && log.contains("1 out of service by earlier commands"),
         "{log}"
     );
     let _ = std::fs::remove_dir_all(folder);
--- a/tests/node_state_files.rs
+++ b/tests/node_state_files.rs
@@ -102,7 +102,7 @@
     assert_disabled_until_enabled(&successor);
     assert_eq!(successor.records[2].count(), 0, "s-2 is congested");
     let log = successor.log();
-    assert!(log.contains("handover: 1 out of service by earlier calls"), "{log}");
+    assert!(log.contains("handover: 1 out of service by earlier commands"), "{log}");
     assert!(log.contains(": 4 servers"), "{log}");
 }
 
@@ -114,7 +114,7 @@
     let successor = Successor::start("state-version-2-cut");
     assert_disabled_until_enabled(&successor);
     let log = successor.log();
-    assert!(log.contains("handover: 1 out of service by earlier calls"), "{log}");
+    assert!(log.contains("handover: 1 out of service by earlier commands"), "{log}");
     assert!(log.contains(": 4 servers"), "{log}");
 }
 
@@ -123,6 +123,6 @@
     let successor = Successor::start("state-version-1");
     assert_disabled_until_enabled(&successor);
     let log = successor.log();
-    assert!(log.contains("handover: 1 out of service by earlier calls"), "{log}");
+    assert!(log.contains("handover: 1 out of service by earlier commands"), "{log}");
     assert!(log.contains(": 0 servers"), "the times of version 1 are not used: {log}");
 }
