--- a/src/node/driver/attempt.rs
+++ b/src/node/driver/attempt.rs
@@ -77,10 +77,10 @@
         let (cancel, cancelled) = oneshot::channel();
         open.add_attempt(endpoint, target.location, now_ms, cancel);
         if let Err(violation) = allowed {
-            return core.counters.violation(violation, open.trace.id());
+            return core.counters.record_violation(violation, open.trace.id());
         }
         if !open.proxied.is_sendable() {
-            open.trace.withheld(WithheldReason::BodySpent);
+            open.trace.record_withheld(WithheldReason::BodySpent);
             return core.counters.count(CounterKind::Withheld, WithheldReason::BodySpent.name());
         }
         let Some(address) = core.endpoints.address(endpoint) else { return };
@@ -126,7 +126,7 @@
             Ok(())
         };
         if let Err(reason) = wanted {
-            open.trace.withheld(reason);
+            open.trace.record_withheld(reason);
             core.counters.count(CounterKind::Withheld, reason.name());
         }
         wanted
--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -132,7 +132,7 @@
         let core = self.core.borrow();
         for id in core.requests.unanswered() {
             let trace_id = core.requests.get(id).map_or("?", |open| open.trace.id());
-            self.counters.violation(Violation::EndUnanswered, trace_id);
+            self.counters.record_violation(Violation::EndUnanswered, trace_id);
         }
     }
 
@@ -310,7 +310,7 @@
                 self.requests.respond(id, answer, RequestEnding::Rejected(reason));
             }
             Err(violation) => {
-                self.counters.violation(violation, open.trace.id());
+                self.counters.record_violation(violation, open.trace.id());
                 self.requests.respond(id, Answer::Failed, RequestEnding::Failed(reason));
             }
         }
--- a/src/node/driver/request_table.rs
+++ b/src/node/driver/request_table.rs
@@ -86,7 +86,7 @@
         now_ms: f64,
         cancel: oneshot::Sender<()>,
     ) {
-        self.trace.sent(self.next_attempt(), endpoint);
+        self.trace.record_sent(self.next_attempt(), endpoint);
         self.cancel_handles.push(Some(cancel));
         self.attempts.push(AttemptRecord { location, sent_at_ms: now_ms, outcome: None });
     }
@@ -97,7 +97,7 @@
         if handle.is_none() {
             return false;
         }
-        self.trace.ended(attempt, outcome);
+        self.trace.record_ended(attempt, outcome);
         if let Some(record) = self.attempts.get_mut(attempt as usize) {
             record.outcome = Some(outcome);
         }
@@ -155,7 +155,7 @@
         let Some(open) = self.requests.get_mut(&id) else { return };
         if let Some(responder) = open.responder.take() {
             responder.respond(answer);
-            open.trace.answered(ending);
+            open.trace.record_answered(ending);
             self.counters.count(CounterKind::Answer, ending.name());
             if let RequestEnding::Rejected(reason) | RequestEnding::Failed(reason) = ending {
                 self.counters.count(CounterKind::Rejection, reason.name());
@@ -170,7 +170,7 @@
             return;
         }
         if let Some(open) = self.requests.remove(&id)
-            && (log::all_requests() || !open.trace.went_well())
+            && (log::traces_all_requests() || !open.trace.was_served_by_first_attempt())
         {
             log::request(|| open.trace.to_string());
         }
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -116,7 +116,7 @@
             let id = client.last_trace_id.borrow();
             let id = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("?");
             let text = format!("{id} {}", reason.name());
-            self.driver.counters.violation(Violation::CloseUnanswered, &text);
+            self.driver.counters.record_violation(Violation::CloseUnanswered, &text);
         }
         match reason {
             CloseReason::Broken => client.socket.reset(),
--- a/src/node/observability/counters.rs
+++ b/src/node/observability/counters.rs
@@ -1,31 +1,34 @@
-//! What this process has done so far, counted by reason: shown by the operators' `counters` command and in
-//! the log at the end. The names that are shown are read by the operators' tools and stay as they are.
+//! Counts the events of this process by kind and reason.
+//!
+//! The counts are shown by the `counters` admin command and logged when the process ends. Operators' tools
+//! parse the names that are shown, so these must not change.
 
 use super::log;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// What is counted.
+/// A group of counters; each has one counter per reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CounterKind {
     /// Requests, by how they ended.
     Answer,
-    /// Rejections and failures, by the decisions' reason.
+    /// Requests that the balancer rejected or failed, by its reason.
     Rejection,
     /// Attempts, by their outcome.
     Attempt,
-    /// Attempts that were decided on and not begun, as something changed meanwhile.
+    /// Attempts that the balancer ordered but the node did not begin, by what prevented them.
     Withheld,
-    /// Connections of clients, by why they ended.
+    /// Client connections, by why they were closed.
     Close,
-    /// Changes of readiness, by what it is now.
+    /// Changes of readiness, by the new state.
     Readiness,
-    /// Breaks of an invariant.
+    /// Violations of an invariant, by the invariant.
     Violation,
 }
 
 impl CounterKind {
+    /// The first part of a counter's name, `KIND.REASON`.
     fn name(self) -> &'static str {
         match self {
             CounterKind::Answer => "answer",
@@ -39,28 +42,30 @@
     }
 }
 
-/// Something that an invariant of the node forbids. What can be stopped is stopped.
+/// An action or event that an invariant of the node forbids. The node does not carry out a forbidden attempt or
+/// rejection; the other violations can only be reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// An attempt for a request that has its answer, or whose client has gone.
+    /// An attempt for a request that has been answered or whose client has disconnected.
     SendAfterEnd,
     /// An attempt at an endpoint that is not in service.
     SendToWithdrawn,
-    /// An attempt past the deadline of its request.
+    /// An attempt after the deadline of its request.
     SendPastDeadline,
-    /// More attempts than allowed, or a second one in parallel where that is not allowed.
+    /// An attempt beyond the maximum number, or one in parallel to another although hedging is not allowed.
     SendBeyondLimit,
-    /// A repeat that the idempotency of the request does not allow.
+    /// A repeated attempt that the idempotency of the request does not allow.
     RepeatAgainstIdempotency,
-    /// A rejection, which promises no harm, of a request that may have run.
+    /// A rejection of a request that may have run. A rejection tells the client that a retry is safe.
     RejectionAfterExecution,
-    /// The node closes a connection that waits for an answer.
+    /// The node closed a connection on which a client waits for an answer.
     CloseUnanswered,
-    /// The process ends with requests unanswered.
+    /// The process ended with an unanswered request.
     EndUnanswered,
 }
 
 impl Violation {
+    /// The reason in the counter's name, and the text in the log.
     fn name(self) -> &'static str {
         match self {
             Violation::SendAfterEnd => "send-after-end",
@@ -75,29 +80,30 @@
     }
 }
 
-/// The counts of one process.
+/// The counters of this process, all of which start at 0.
 #[derive(Debug, Default)]
 pub struct Counters {
     counts: RefCell<BTreeMap<(CounterKind, &'static str), u64>>,
 }
 
 impl Counters {
-    /// Counts one more.
+    /// Increments the counter `KIND.REASON`, where `name` is the reason.
     pub fn count(&self, kind: CounterKind, name: &'static str) {
         *self.counts.borrow_mut().entry((kind, name)).or_default() += 1;
     }
 
-    /// Counts a break of an invariant and logs it, by the request's trace id where there is one.
-    pub fn violation(&self, violation: Violation, trace_id: &str) {
+    /// Counts a violation and logs it. `trace_id` is the trace id of the request, or `?` if there is none;
+    /// details may follow it.
+    pub fn record_violation(&self, violation: Violation, trace_id: &str) {
         self.count(CounterKind::Violation, violation.name());
         log::urgent(&format!("violation: {}: {trace_id}", violation.name()));
     }
 
-    /// All of them in one line. The number of violations always stands there.
+    /// All counters above 0 in one line, preceded by the total number of violations, which is always there.
     pub fn text(&self) -> String {
         let counts = self.counts.borrow();
-        let of_violations = counts.iter().filter(|((kind, _), _)| *kind == CounterKind::Violation);
-        let violations: u64 = of_violations.map(|(_, count)| count).sum();
+        let violation_counts = counts.iter().filter(|((kind, _), _)| *kind == CounterKind::Violation);
+        let violations: u64 = violation_counts.map(|(_, count)| count).sum();
         let mut text = format!("violations={violations}");
         for ((kind, name), count) in counts.iter() {
             // Writing to a String cannot fail.
--- a/src/node/observability/invariants.rs
+++ b/src/node/observability/invariants.rs
@@ -1,56 +1,56 @@
-//! The guard of every attempt and rejection: whatever the decisions want, nothing begins that a rule
-//! forbids.
+//! Checks every attempt and every rejection against the node's invariants before it is carried out.
 //!
-//! The decisions keep the same rules by themselves. This stands behind them with what the node itself has
-//! seen, so that an error of either shows as a violation and goes no further.
+//! The balancer follows the same rules on its own. This check repeats them independently, using only what the
+//! node itself has observed, so that a bug on either side becomes visible as a violation and does no harm.
 
 use super::counters::Violation;
 use wheelpath::policy::{AttemptOutcome, Idempotency, Location, RequestClass, Settings};
 
-/// The decisions and this guard read the clock one after the other, within this time, in milliseconds.
+/// Tolerance for deadlines and deduplication windows, in milliseconds. The balancer and this check do not read
+/// the clock at the same instant; the two readings are at most this far apart.
 const CLOCK_READ_SLACK_MS: f64 = 1.0;
 
-/// What the node has seen of an attempt.
+/// What the node has observed of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptRecord {
-    /// Where its endpoint stands.
+    /// Zone and cell of the attempt's endpoint.
     pub location: Location,
-    /// When it was decided on, in milliseconds on the decisions' clock.
+    /// When the balancer ordered the attempt, in milliseconds on its clock.
     pub sent_at_ms: f64,
-    /// How it ended; none while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<AttemptOutcome>,
 }
 
 impl AttemptRecord {
-    /// It is certain that the request did not run.
-    fn never_ran(&self) -> bool {
+    /// Whether it is certain that the endpoint did not execute the request.
+    fn was_not_executed(&self) -> bool {
         self.outcome.is_some_and(AttemptOutcome::proves_not_executed)
     }
 }
 
-/// What is known of a request as an attempt is to begin, or its rejection to be sent.
+/// What the node knows about a request when an attempt is to begin or a rejection is to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestFacts<'a> {
-    /// Index of its class.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Its client waits for an answer.
+    /// Whether the client still waits for an answer.
     pub awaits_answer: bool,
-    /// When its client gives up, in milliseconds on the decisions' clock.
+    /// Until when the client waits, in milliseconds on the balancer's clock.
     pub deadline_ms: f64,
-    /// What was sent so far.
+    /// All attempts so far, in the order in which they were ordered.
     pub attempts: &'a [AttemptRecord],
 }
 
-/// Where an attempt is to go.
+/// The endpoint that an attempt is to be sent to.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTarget {
-    /// Discovery has the endpoint as active, and the operators have not taken it out of service.
+    /// Whether discovery lists the endpoint as active and operators have not taken it out of service.
     pub in_service: bool,
-    /// Where the endpoint stands.
+    /// Zone and cell of the endpoint.
     pub location: Location,
 }
 
-/// The rules that attempts and rejections must satisfy.
+/// Checks attempts and rejections against the limits in the settings.
 #[derive(Clone, Debug)]
 pub struct InvariantGuard {
     classes: Vec<RequestClass>,
@@ -59,7 +59,7 @@
 }
 
 impl InvariantGuard {
-    /// By these settings.
+    /// Copies the limits and classes to check against from `settings`.
     pub fn new(settings: &Settings) -> InvariantGuard {
         InvariantGuard {
             classes: settings.classes.clone(),
@@ -68,15 +68,15 @@
         }
     }
 
-    /// A class that is not known falls under the strictest rule.
+    /// The idempotency of a class. An unknown class gets the strictest rule.
     fn idempotency(&self, class: usize) -> Idempotency {
         self.classes.get(class).map_or(Idempotency::NotIdempotent, |class| class.idempotency)
     }
 
-    /// Whether an attempt may begin.
+    /// Checks whether an attempt may begin at `now_ms`, in milliseconds on the balancer's clock.
     ///
     /// # Errors
-    /// The rule that it would break.
+    /// The first invariant that the attempt would violate.
     pub fn may_send(
         &self,
         now_ms: f64,
@@ -98,15 +98,19 @@
         }
     }
 
-    /// Whether one more attempt is allowed, as far as their number goes.
+    /// Whether the number of attempts, and of those in flight, allows one more.
     fn is_within_limit(&self, attempts: &[AttemptRecord]) -> bool {
         let is_any_in_flight = attempts.iter().any(|attempt| attempt.outcome.is_none());
         attempts.len() < self.max_attempts && (self.hedging_allowed || !is_any_in_flight)
     }
 
-    /// Whether a further attempt has no further effect.
+    /// Whether one more attempt cannot execute the request a second time, or a second execution does no harm.
+    /// With an idempotency key, that holds where the endpoint shares the key with the endpoint of the first
+    /// attempt that may have run, and only within the deduplication window.
     fn may_repeat(&self, now_ms: f64, request: &RequestFacts<'_>, location: Location) -> bool {
-        let Some(first) = request.attempts.iter().find(|attempt| !attempt.never_ran()) else { return true };
+        let Some(first) = request.attempts.iter().find(|attempt| !attempt.was_not_executed()) else {
+            return true;
+        };
         let window_ms = self.classes.get(request.class).map_or(0.0, |class| class.deduplication_window_ms);
         match self.idempotency(request.class) {
             Idempotency::Idempotent => true,
@@ -118,12 +122,13 @@
         }
     }
 
-    /// Whether a request may be rejected, which promises that another try does no harm.
+    /// Checks whether a request may be rejected. A rejection tells the client that it may retry elsewhere at any
+    /// time without harm.
     ///
     /// # Errors
-    /// The rule that it would break.
+    /// The invariant that the rejection would violate.
     pub fn may_reject(&self, request: &RequestFacts<'_>) -> Result<(), Violation> {
-        let may_have_run = request.attempts.iter().any(|attempt| !attempt.never_ran());
+        let may_have_run = request.attempts.iter().any(|attempt| !attempt.was_not_executed());
         let is_harmless = self.idempotency(request.class).is_harmless_anywhere();
         if may_have_run && !is_harmless { Err(Violation::RejectionAfterExecution) } else { Ok(()) }
     }
--- a/src/node/observability/log.rs
+++ b/src/node/observability/log.rs
@@ -1,8 +1,12 @@
-//! Log lines on standard error: few and bounded, since the event loop waits while one is written.
+//! Writes log lines to standard error, at a bounded rate.
 //!
-//! There are lines on the node, and one line on each request that did not go well: what it met, by its id.
-//! Both are bounded in number; `LB_TRACE=all` has a line on every request. A log that nobody reads must
-//! neither end the node nor hold it up: a line that cannot be written at once is dropped and counted.
+//! The event loop waits while a line is written, so lines must be few. There are lines about the node, and one
+//! line for each request that was not simply served by its first attempt; that line is the request's trace.
+//! Each of the two kinds has a limit per second. `LB_TRACE=all` logs the trace of every request, up to a higher
+//! limit.
+//!
+//! A reader that does not read the log must neither stop nor delay the node. A line that cannot be written at
+//! once is therefore dropped and counted.
 
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 use std::cell::{Cell, OnceCell};
@@ -12,88 +16,95 @@
 use std::os::unix::fs::{FileTypeExt, OpenOptionsExt};
 use std::time::{Duration, Instant};
 
-/// Lines on the node in one second; more than this says nothing new.
+/// Limit of lines about the node per second. More lines than this repeat what the others say.
 const LINES_PER_SECOND: u32 = 20;
-/// Lines on requests in one second, and where all are wanted.
-const REQUESTS_PER_SECOND: u32 = 5;
-const ALL_REQUESTS_PER_SECOND: u32 = 5000;
-/// Has a line written on every request where it says `all`.
+/// Limit of request traces per second, unless `LB_TRACE` is `all`.
+const TRACES_PER_SECOND: u32 = 5;
+/// Limit of request traces per second if `LB_TRACE` is `all`.
+const ALL_TRACES_PER_SECOND: u32 = 5000;
+/// The environment variable that, with the value `all`, has the traces of all requests logged.
 const TRACE_VARIABLE: &str = "LB_TRACE";
-/// The longest line, in bytes: a pipe that takes anything takes so much at once.
-const MAX_LINE: usize = 4096;
+/// The longest line, in bytes with its line break. A pipe that is writable takes a write of this size
+/// (`PIPE_BUF`) as a whole.
+const MAX_LINE_BYTES: usize = 4096;
+/// A path through which the pipe behind standard error can be opened a second time.
 const STANDARD_ERROR: &str = "/proc/self/fd/2";
 
-/// Lines within one second.
+/// Counts the lines of one kind in the current second.
 #[derive(Clone, Copy, Default)]
 struct LineBudget {
     second_began_at: Option<Instant>,
-    /// Written in that second.
-    written: u32,
-    /// Left out since one was last written.
-    left_out: u32,
+    /// Lines allowed in the current second.
+    allowed: u32,
+    /// Lines suppressed since the last one that was allowed.
+    suppressed: u32,
 }
 
 impl LineBudget {
-    /// Takes a line from the budget. Where that allows one, says how many were left out before it.
+    /// Asks for one more line. Returns how many lines were suppressed since the previous allowed one, or `None`
+    /// if the limit of `max_lines` per second is used up.
     fn take(cell: &'static std::thread::LocalKey<Cell<LineBudget>>, max_lines: u32) -> Option<u32> {
         let mut budget = cell.get();
         let now = Instant::now();
         if budget.second_began_at.is_none_or(|at| now.duration_since(at) >= Duration::from_secs(1)) {
             budget.second_began_at = Some(now);
-            budget.written = 0;
+            budget.allowed = 0;
         }
-        let allowed = budget.written < max_lines;
-        let left_out = budget.left_out;
-        if allowed {
-            budget.written += 1;
-            budget.left_out = 0;
+        let is_allowed = budget.allowed < max_lines;
+        let suppressed = budget.suppressed;
+        if is_allowed {
+            budget.allowed += 1;
+            budget.suppressed = 0;
         } else {
-            budget.left_out = left_out.saturating_add(1);
+            budget.suppressed = suppressed.saturating_add(1);
         }
         cell.set(budget);
-        allowed.then_some(left_out)
+        is_allowed.then_some(suppressed)
     }
 }
 
 thread_local! {
     static NODE_LINES: Cell<LineBudget> = Cell::default();
     static REQUEST_LINES: Cell<LineBudget> = Cell::default();
-    static ALL_REQUESTS: OnceCell<bool> = const { OnceCell::new() };
+    static TRACES_ALL_REQUESTS: OnceCell<bool> = const { OnceCell::new() };
     static SINK: OnceCell<Sink> = const { OnceCell::new() };
-    /// Lines that could not be written since one last was.
-    static LOST_LINES: Cell<u64> = const { Cell::new(0) };
+    /// Lines dropped since the last one that was written, because standard error was not writable.
+    static DROPPED_LINES: Cell<u64> = const { Cell::new(0) };
 }
 
-/// Writes a line, unless this second has had its share.
+/// Writes a line about the node, unless the limit per second is used up.
 pub fn line(text: &str) {
     if LineBudget::take(&NODE_LINES, LINES_PER_SECOND).is_some() {
         urgent(text);
     }
 }
 
-/// Writes a line whatever has been written: for what must not happen, and happens seldom.
+/// Writes a line regardless of the limits per second: for events that are rare and must not be missed.
 pub fn urgent(text: &str) {
     let mut line = format!("wheelpath-node: {text}");
-    line.truncate(line.floor_char_boundary(MAX_LINE - 1));
+    line.truncate(line.floor_char_boundary(MAX_LINE_BYTES - 1));
     line.push('\n');
-    let written = SINK.with(|sink| sink.get_or_init(Sink::open).write(line.as_bytes()));
-    if !written {
-        LOST_LINES.set(LOST_LINES.get() + 1);
+    let was_written = SINK.with(|sink| sink.get_or_init(Sink::open).write(line.as_bytes()));
+    if !was_written {
+        DROPPED_LINES.set(DROPPED_LINES.get() + 1);
         return;
     }
-    let lost = LOST_LINES.take();
-    if lost > 0 {
-        let line = format!("wheelpath-node: {lost} lines of the log were lost: nobody took them\n");
+    let dropped = DROPPED_LINES.take();
+    if dropped > 0 {
+        let line =
+            format!("wheelpath-node: {dropped} log lines dropped: standard error was not writable\n");
         SINK.with(|sink| sink.get_or_init(Sink::open).write(line.as_bytes()));
     }
 }
 
-/// Where lines go.
+/// The destination of log lines.
 enum Sink {
-    /// The pipe that is standard error, opened anew: whether writes wait is then for this process alone to
-    /// say.
+    /// Standard error is a pipe, and this is a second open file description of it in non-blocking mode.
+    /// Setting that mode on standard error itself would change it for every process that shares standard
+    /// error.
     Pipe(File),
-    /// Anything else, or a pipe that may not be opened: others may write to it, too.
+    /// Standard error itself, in blocking mode: it is not a pipe, or the pipe cannot be opened again. Other
+    /// processes may write to it, too.
     Shared,
 }
 
@@ -107,7 +118,7 @@
         opened.flatten().map_or(Sink::Shared, Sink::Pipe)
     }
 
-    /// Writes a line if that needs no wait; says whether it was written.
+    /// Writes a line if that is possible without waiting. Returns whether the line was written.
     fn write(&self, line: &[u8]) -> bool {
         match self {
             Sink::Pipe(pipe) => {
@@ -119,26 +130,27 @@
     }
 }
 
-/// Whether standard error takes a line without a wait.
+/// Whether standard error can be written to without waiting.
 fn is_writable() -> bool {
     let stderr = std::io::stderr();
-    let mut wanted = [PollFd::new(stderr.as_fd(), PollFlags::POLLOUT)];
-    // Where the system cannot tell, a line is better than none.
-    poll(&mut wanted, PollTimeout::ZERO).is_err()
-        || wanted[0].revents().is_none_or(|ready| ready.contains(PollFlags::POLLOUT))
+    let mut polled = [PollFd::new(stderr.as_fd(), PollFlags::POLLOUT)];
+    // If `poll` fails, the line is written all the same: a possible wait is better than a missing line.
+    poll(&mut polled, PollTimeout::ZERO).is_err()
+        || polled[0].revents().is_none_or(|ready| ready.contains(PollFlags::POLLOUT))
 }
 
-/// A line is wanted on every request.
-pub fn all_requests() -> bool {
-    ALL_REQUESTS
+/// Whether `LB_TRACE` asks for the traces of all requests. The variable is read once.
+pub fn traces_all_requests() -> bool {
+    TRACES_ALL_REQUESTS
         .with(|all| *all.get_or_init(|| std::env::var(TRACE_VARIABLE).is_ok_and(|value| value == "all")))
 }
 
-/// Writes a line on a request, unless this second has had its share.
+/// Writes the trace of a request, unless the limit per second is used up. `text` is called only if the trace is
+/// written.
 pub fn request(text: impl FnOnce() -> String) {
-    let max_lines = if all_requests() { ALL_REQUESTS_PER_SECOND } else { REQUESTS_PER_SECOND };
-    if let Some(left_out) = LineBudget::take(&REQUEST_LINES, max_lines) {
-        let before = if left_out > 0 { format!(" ({left_out} more before it)") } else { String::new() };
+    let max_lines = if traces_all_requests() { ALL_TRACES_PER_SECOND } else { TRACES_PER_SECOND };
+    if let Some(suppressed) = LineBudget::take(&REQUEST_LINES, max_lines) {
+        let before = if suppressed > 0 { format!(" ({suppressed} more before it)") } else { String::new() };
         urgent(&format!("request {}{before}", text()));
     }
 }
--- a/src/node/observability/mod.rs
+++ b/src/node/observability/mod.rs
@@ -1,4 +1,4 @@
-//! What the node shows of itself: log lines, counters, request traces, and guards of its invariants.
+//! Makes the node's behavior visible: log lines, counters, traces of requests, and checks of the invariants.
 
 pub mod counters;
 pub mod invariants;
--- a/src/node/observability/request_trace.rs
+++ b/src/node/observability/request_trace.rs
@@ -1,32 +1,32 @@
-//! What one request met from its arrival to its end, to be written as one line of the log.
+//! Records what happens to one request from its arrival to its end, for one log line.
 
 use hyper::header::HeaderValue;
 use std::fmt::{self, Display, Formatter};
 use std::time::Instant;
 use wheelpath::policy::{AttemptOutcome, EndpointId, RejectionReason};
 
-/// Steps that are recorded; what follows is left out. No request should have as many.
+/// Maximum number of steps in a trace; later ones are not recorded. No request is expected to have so many.
 const MAX_STEPS: usize = 32;
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnding {
-    /// With an endpoint's response.
+    /// The client got an endpoint's response.
     Served,
-    /// With a rejection.
+    /// The balancer rejected the request.
     Rejected(RejectionReason),
-    /// With a failure.
+    /// The balancer failed the request.
     Failed(RejectionReason),
-    /// With a failure, since its time was over before the decisions ended it.
+    /// The node failed the request, because its time ran out before the balancer ended it.
     Expired,
-    /// Its client left, or needed nothing more.
+    /// The client disconnected, or no longer needs an answer.
     ClientLeft,
-    /// The process had no more time.
+    /// The node failed the request, because the process had to end.
     Stopped,
 }
 
 impl RequestEnding {
-    /// As logs and counters name it.
+    /// The name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             RequestEnding::Served => "served",
@@ -39,21 +39,23 @@
     }
 }
 
-/// Why an attempt that was decided on did not begin.
+/// Why an attempt that the balancer ordered did not begin. The node checks again right before the first byte is
+/// sent, because connecting takes time in which the request or the endpoint may change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithheldReason {
-    /// Its request has ended meanwhile.
+    /// The request ended in the meantime.
     RequestOver,
-    /// Its endpoint has left service meanwhile.
+    /// The endpoint was taken out of service in the meantime.
     EndpointWithdrawn,
-    /// The endpoint may have forgotten an earlier attempt by now.
+    /// The deduplication window of an earlier attempt may have ended, so the endpoint might execute the request
+    /// a second time.
     RepeatTooLate,
-    /// Part of the body has been sent and is buffered nowhere.
+    /// An earlier attempt has sent part of the request body, which was not buffered and cannot be sent again.
     BodySpent,
 }
 
 impl WithheldReason {
-    /// As logs and counters name it.
+    /// The name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             WithheldReason::RequestOver => "request-over",
@@ -64,7 +66,7 @@
     }
 }
 
-/// One thing that happened to a request.
+/// An event in the course of a request.
 #[derive(Clone, Copy, Debug)]
 enum TraceEvent {
     Sent { attempt: u32, endpoint: EndpointId },
@@ -73,6 +75,7 @@
     Answered(RequestEnding),
 }
 
+/// An event and when it happened.
 #[derive(Clone, Copy, Debug)]
 struct TraceStep {
     /// Time since the request arrived, in milliseconds.
@@ -80,7 +83,7 @@
     event: TraceEvent,
 }
 
-/// What a request met.
+/// The events in the course of one request, in order.
 #[derive(Debug)]
 pub struct RequestTrace {
     id: Option<HeaderValue>,
@@ -89,12 +92,13 @@
 }
 
 impl RequestTrace {
-    /// The trace of a request that has just come, by the id that its client gave it.
+    /// Starts the trace of a request that arrives now. `id` is the trace id from the client's headers, if there
+    /// is one.
     pub fn new(id: Option<HeaderValue>) -> RequestTrace {
         RequestTrace { id, arrived_at: Instant::now(), steps: Vec::new() }
     }
 
-    /// The id that the client gave it.
+    /// The trace id that the client gave; `?` if it gave none, or one that is not visible ASCII.
     pub fn id(&self) -> &str {
         self.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("?")
     }
@@ -106,28 +110,29 @@
         }
     }
 
-    /// An attempt was decided on.
-    pub fn sent(&mut self, attempt: u32, endpoint: EndpointId) {
+    /// The balancer ordered an attempt.
+    pub fn record_sent(&mut self, attempt: u32, endpoint: EndpointId) {
         self.record(TraceEvent::Sent { attempt, endpoint });
     }
 
-    /// The attempt did not begin.
-    pub fn withheld(&mut self, reason: WithheldReason) {
+    /// An attempt that the balancer ordered did not begin.
+    pub fn record_withheld(&mut self, reason: WithheldReason) {
         self.record(TraceEvent::Withheld(reason));
     }
 
-    /// An attempt is over.
-    pub fn ended(&mut self, attempt: u32, outcome: AttemptOutcome) {
+    /// An attempt ended.
+    pub fn record_ended(&mut self, attempt: u32, outcome: AttemptOutcome) {
         self.record(TraceEvent::Ended { attempt, outcome });
     }
 
-    /// The client has its answer.
-    pub fn answered(&mut self, ending: RequestEnding) {
+    /// The request got its final answer, or ended without one.
+    pub fn record_answered(&mut self, ending: RequestEnding) {
         self.record(TraceEvent::Answered(ending));
     }
 
-    /// Served by its first attempt, with nothing else to tell.
-    pub fn went_well(&self) -> bool {
+    /// Whether the request was served by its first attempt, and nothing else happened: the three steps are the
+    /// attempt, its end and the answer.
+    pub fn was_served_by_first_attempt(&self) -> bool {
         let is_served =
             |step: &TraceStep| matches!(step.event, TraceEvent::Answered(RequestEnding::Served));
         self.steps.len() == 3 && self.steps.iter().any(is_served)
