--- a/src/node/admin/command.rs
+++ b/src/node/admin/command.rs
@@ -1,62 +1,63 @@
-//! The commands that operators may give.
+//! Parses the commands of the admin interface.
 
 use thiserror::Error;
 
-/// The longest command with its line's end, in bytes.
+/// The longest command, in bytes with its line break.
 pub const MAX_LENGTH: usize = 256;
-/// Characters of an unknown command that the answer shows.
-const MAX_SHOWN: usize = 40;
+/// How many characters of an unknown command the error shows.
+const MAX_SHOWN_CHARACTERS: usize = 40;
 
-/// A command.
+/// A command. Its `Debug` form appears in the log, where operators' tools match it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCommand<'a> {
-    /// Does this process take clients?
+    /// Asks whether this process accepts clients.
     Ready,
-    /// Send nothing more to this endpoint.
+    /// Takes the endpoint with this name out of service.
     Disable(&'a str),
-    /// This endpoint may serve again.
+    /// Puts the endpoint with this name back into service.
     Enable(&'a str),
-    /// Send clients away.
+    /// Drains the node: the readiness check fails, responses close their connections, and idle connections are
+    /// closed, so that clients go elsewhere.
     Drain,
-    /// Take clients again.
+    /// Ends a drain.
     Resume,
-    /// What has this process done so far?
+    /// Asks for the counters of this process.
     Counters,
 }
 
-/// Why a line is no command.
+/// Why a line is not a valid command.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
-    /// It never ended.
-    #[error("no whole line came")]
+    /// The line break did not come in time, or the connection ended before it.
+    #[error("no complete line was received")]
     Unfinished,
-    /// It is too long to be one.
+    /// The line is longer than [`MAX_LENGTH`].
     #[error("the line is longer than {MAX_LENGTH} bytes")]
     TooLong,
-    /// It cannot be read.
+    /// The line is not UTF-8, or contains control characters other than white space.
     #[error("the line is not text")]
     NotText,
-    /// There is nothing in it.
+    /// The line contains no word.
     #[error("the line is empty")]
     Empty,
-    /// Its first word is unknown.
+    /// No command has this name; holds the first [`MAX_SHOWN_CHARACTERS`] of it.
     #[error(
-        "unknown call {0:?}; there are ready, disable-server ID, enable-server ID, drain, resume and counters"
+        "unknown command {0:?}; the commands are ready, disable-server ID, enable-server ID, drain, resume and counters"
     )]
     Unknown(String),
-    /// It wants an id.
-    #[error("{0} wants the id of a server")]
+    /// The named command needs the id of a server after it.
+    #[error("{0} needs the id of a server")]
     MissingId(&'static str),
-    /// There are words too many.
-    #[error("words too many behind {0}")]
+    /// More words follow than the command takes; holds its usage.
+    #[error("too many words after {0}")]
     ExtraWords(&'static str),
 }
 
 impl<'a> AdminCommand<'a> {
-    /// Reads a line without its end.
+    /// Parses a line without its line break.
     ///
     /// # Errors
-    /// The line is no command.
+    /// The line is not a valid command.
     pub fn parse(line: &'a [u8]) -> Result<AdminCommand<'a>, CommandError> {
         let text = std::str::from_utf8(line).map_err(|_| CommandError::NotText)?;
         if text.chars().any(|character| character.is_control() && !character.is_whitespace()) {
@@ -72,7 +73,7 @@
             "drain" => (AdminCommand::Drain, "drain"),
             "resume" => (AdminCommand::Resume, "resume"),
             "counters" => (AdminCommand::Counters, "counters"),
-            other => return Err(CommandError::Unknown(other.chars().take(MAX_SHOWN).collect())),
+            other => return Err(CommandError::Unknown(other.chars().take(MAX_SHOWN_CHARACTERS).collect())),
         };
         if words.next().is_some() { Err(CommandError::ExtraWords(usage)) } else { Ok(command) }
     }
--- a/src/node/admin/mod.rs
+++ b/src/node/admin/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' side of the node: a command is a line on a connection of its own, the answer a line that
-//! begins with `done` or `error`.
+//! The admin interface, through which operators control the node.
 //!
-//! [`command`] reads commands, [`server`] carries them out.
+//! An operator opens a TCP connection for each command, sends the command as one line, and gets one line back
+//! that begins with `done` or `error`. [`command`] parses commands, [`server`] executes them.
 
 mod command;
 mod server;
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -1,8 +1,8 @@
-//! Takes operators' connections and carries their commands out.
+//! Accepts admin connections and executes their commands.
 //!
-//! A command is read completely before anything is done about it. Operators are few and never wait behind
-//! clients: their descriptors are reserved, and when all of them are in use the connection that has been
-//! silent for longest goes.
+//! A command is executed only once its line is complete. Operators must be able to reach the node when clients
+//! use all other descriptors, so a number of descriptors is reserved for them. If all of these are in use, the
+//! oldest connection that has not yet sent a complete command is closed.
 
 use super::command::{AdminCommand, CommandError, MAX_LENGTH};
 use crate::driver::Driver;
@@ -23,63 +23,66 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-/// Operators' connections at a time.
+/// Maximum number of admin connections at a time.
 pub const MAX_CONNECTIONS: usize = 16;
-/// A connection that has not sent a complete command by then gets an error and is closed.
+/// Time in which a connection must send a complete command. After it, the connection gets an error and is
+/// closed.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
-/// What still comes behind a command is read for so long, so that the answer is not lost to a reset.
+/// Time in which the answer must be taken. After the answer, the node also reads and discards what the operator
+/// still sends: closing a socket with unread input resets the connection, and the answer could be lost.
 const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Why a command was not carried out.
+/// Why a command was not executed.
 #[derive(Debug, Error)]
 enum AdminError {
-    /// The line is none.
+    /// The line is not a valid command.
     #[error(transparent)]
     Command(#[from] CommandError),
-    /// It names an endpoint that nobody knows.
-    #[error("no server of this id is on the list or out of service")]
+    /// The command names an endpoint that is neither on the endpoint list nor out of service.
+    #[error("no server with this id is on the list or out of service")]
     UnknownEndpoint,
-    /// It cannot be stored for the next process.
+    /// The change could not be stored for other processes of the node.
     #[error(transparent)]
     Override(#[from] OverrideError),
-    /// The process is to end.
+    /// The process is shutting down.
     #[error(transparent)]
     Stopping(#[from] Stopping),
-    /// The node takes no clients.
+    /// The node does not accept clients: the answer to `ready`.
     #[error("takes no clients")]
     NotReady,
 }
 
-/// The operators' side of the node.
+/// The admin interface of this process.
 pub struct AdminServer {
     driver: Rc<Driver>,
     frontend: Rc<Frontend>,
-    /// Where another process may run alongside this one.
+    /// Stores overrides for other processes; `None` if the node does not hand over between processes.
     takeover: Option<Rc<Takeover>>,
     descriptors: Rc<Descriptors>,
-    /// Connections that have sent no complete command yet, the oldest first. Dropping the handle closes
-    /// one.
-    waiting: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
-    open: Cell<usize>,
-    next_connection: Cell<u64>,
+    /// Connections that have not yet sent a complete command, by connection id, so the oldest comes first.
+    /// Dropping the sender closes the connection.
+    awaiting_command: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
+    open_connections: Cell<usize>,
+    next_connection_id: Cell<u64>,
 }
 
-/// A connection's place, given up however its task ends.
-struct ConnectionPlace {
+/// One of the [`MAX_CONNECTIONS`] places. It is freed when dropped, however the connection's task ends.
+struct ConnectionSlot {
     server: Rc<AdminServer>,
-    number: u64,
+    connection_id: u64,
 }
 
-impl Drop for ConnectionPlace {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         let server = &self.server;
-        server.open.set(server.open.get().saturating_sub(1));
-        server.waiting.borrow_mut().remove(&self.number);
+        server.open_connections.set(server.open_connections.get().saturating_sub(1));
+        server.awaiting_command.borrow_mut().remove(&self.connection_id);
     }
 }
 
 impl AdminServer {
-    /// A server that nobody has called yet.
+    /// Creates the interface without any connection; [`AdminServer::accept`] takes them. `takeover` is `None`
+    /// if the node does not hand over between processes.
     pub fn new(
         driver: Rc<Driver>,
         frontend: Rc<Frontend>,
@@ -91,13 +94,13 @@
             frontend,
             takeover,
             descriptors,
-            waiting: RefCell::default(),
-            open: Cell::new(0),
-            next_connection: Cell::new(0),
+            awaiting_command: RefCell::default(),
+            open_connections: Cell::new(0),
+            next_connection_id: Cell::new(0),
         })
     }
 
-    /// Takes connections for as long as the node lives.
+    /// Accepts connections for as long as the process lives.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let acceptor = Acceptor::new(listener, Some(Instant::now()));
         loop {
@@ -111,48 +114,57 @@
         }
     }
 
-    /// Starts the task that serves a connection, which ends with it.
+    /// Starts the task that serves one connection and ends when the connection does.
     fn serve(self: &Rc<Self>, stream: TcpStream) {
-        if self.open.get() >= MAX_CONNECTIONS && self.waiting.borrow_mut().pop_first().is_none() {
-            // All are being answered, which takes a moment: this one may call again.
+        if self.open_connections.get() >= MAX_CONNECTIONS
+            && self.awaiting_command.borrow_mut().pop_first().is_none()
+        {
+            // All connections are being answered, which is soon over. This one is closed; the operator can
+            // connect again.
             return;
         }
-        let number = self.next_connection.get();
-        self.next_connection.set(number + 1);
-        self.open.set(self.open.get() + 1);
-        let (keep, evicted) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, keep);
-        let place = ConnectionPlace { server: self.clone(), number };
-        let socket = Socket::new(stream, self.descriptors.take_own());
+        let connection_id = self.next_connection_id.get();
+        self.next_connection_id.set(connection_id + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
+        let (eviction_handle, evicted) = oneshot::channel();
+        self.awaiting_command.borrow_mut().insert(connection_id, eviction_handle);
+        let slot = ConnectionSlot { server: self.clone(), connection_id };
+        let socket = Socket::new(stream, self.descriptors.take_without_waiting());
         spawn_local(async move {
-            place.server.converse(socket, number, evicted).await;
-            drop(place);
+            slot.server.handle_connection(socket, connection_id, evicted).await;
+            drop(slot);
         });
     }
 
-    /// Reads a command, carries it out, and answers.
-    async fn converse(&self, mut stream: Socket, number: u64, evicted: oneshot::Receiver<()>) {
+    /// Reads a command, executes it, and writes the answer. Returns without an answer if the connection is
+    /// evicted while it sends its command.
+    async fn handle_connection(
+        &self,
+        mut stream: Socket,
+        connection_id: u64,
+        evicted: oneshot::Receiver<()>,
+    ) {
         let mut line = Vec::new();
         let read = tokio::select! {
             read = tokio::time::timeout(COMMAND_TIMEOUT, read_line(&mut stream, &mut line)) => read,
             _ = evicted => return,
         };
-        self.waiting.borrow_mut().remove(&number);
+        self.awaiting_command.borrow_mut().remove(&connection_id);
         let read = read.unwrap_or(Err(CommandError::Unfinished));
         let answer = match read.and_then(|()| AdminCommand::parse(&line)) {
-            Ok(command) => self.carry_out(command).await,
+            Ok(command) => self.execute(command).await,
             Err(error) => Err(error.into()),
         };
         let answer = match answer {
             Ok(text) => format!("done {text}\n"),
             Err(error) => format!("error {error}\n"),
         };
-        // An operator that does not take the answer has gone.
+        // There is nobody to report an error to: an operator that does not take the answer has disconnected.
         let _ = tokio::time::timeout(LINGERING_CLOSE_TIMEOUT, write_answer(stream, &answer)).await;
     }
 
-    /// Carries a command out; those that change or may change something are logged with their answer.
-    async fn carry_out(&self, command: AdminCommand<'_>) -> Result<Cow<'static, str>, AdminError> {
+    /// Executes a command. Commands that can change something are logged with their answer, the others are not.
+    async fn execute(&self, command: AdminCommand<'_>) -> Result<Cow<'static, str>, AdminError> {
         let answer = match command {
             AdminCommand::Ready if self.frontend.ready().is_ok() => return Ok("takes clients".into()),
             AdminCommand::Ready => return Err(AdminError::NotReady),
@@ -179,8 +191,8 @@
         Ok(if has_changed { "in service again, cold" } else { "was not out of service" })
     }
 
-    /// True if the command changed anything. Where a later process may take over, the change is stored for it
-    /// before this returns.
+    /// Returns whether the command changed anything. If the node hands over between processes, the change is
+    /// stored durably before this returns.
     async fn set_disabled(&self, id: &str, disable: bool) -> Result<bool, AdminError> {
         let endpoint = self.driver.find_endpoint(id).ok_or(AdminError::UnknownEndpoint)?;
         match &self.takeover {
@@ -204,7 +216,8 @@
     }
 }
 
-/// Reads up to the end of the first line, without the line break.
+/// Appends the first line that is received to `line`, without its line break. Discards what was received after
+/// it.
 async fn read_line(stream: &mut Socket, line: &mut Vec<u8>) -> Result<(), CommandError> {
     let mut buffer = [0; MAX_LENGTH];
     loop {
@@ -221,7 +234,7 @@
     }
 }
 
-/// Writes an answer and reads what still comes, up to the other side's close.
+/// Writes an answer, then reads and discards input until the operator closes the connection.
 async fn write_answer(mut stream: Socket, answer: &str) -> std::io::Result<()> {
     stream.write_all(answer.as_bytes()).await?;
     stream.shutdown().await?;
--- a/src/node/discovery/client.rs
+++ b/src/node/discovery/client.rs
@@ -270,7 +270,7 @@
 
     async fn connect(&self, address: SocketAddr) -> Result<UpstreamConnection, DiscoveryError> {
         let deadline = Instant::now() + self.timeouts.connect;
-        let permit = self.descriptors.take_own();
+        let permit = self.descriptors.take_without_waiting();
         Ok(UpstreamConnection::open(address, deadline, permit, READ_BUFFER).await?)
     }
 
--- a/src/node/system/descriptors.rs
+++ b/src/node/system/descriptors.rs
@@ -89,7 +89,7 @@
                 self.wait_for_freed().await;
             }
         }
-        self.take_own()
+        self.take_without_waiting()
     }
 
     /// Waits for a permit for a new client. Clients have two thirds of them, whoever they are: an attempt
@@ -108,13 +108,13 @@
             }
         }
         self.used_by_clients.set(self.used_by_clients.get() + 1);
-        let mut permit = self.take_own();
+        let mut permit = self.take_without_waiting();
         permit.is_client = true;
         permit
     }
 
     /// A permit at once, for the node's own calls: these are few, and must not wait behind clients.
-    pub fn take_own(self: &Rc<Self>) -> DescriptorPermit {
+    pub fn take_without_waiting(self: &Rc<Self>) -> DescriptorPermit {
         self.used.set(self.used.get() + 1);
         DescriptorPermit { descriptors: self.clone(), is_client: false }
     }
--- a/tests/node_admin.rs
+++ b/tests/node_admin.rs
@@ -37,16 +37,16 @@
     let long = "x".repeat(300);
     for (bytes, why) in [
         (&b"\n"[..], "the line is empty"),
-        (b"READY\n", "unknown call \"READY\""),
-        (b"ready now\n", "words too many behind ready"),
-        (b"disable-server\n", "disable-server wants the id of a server"),
-        (b"enable-server \n", "enable-server wants the id of a server"),
-        (b"enable-server a b\n", "words too many behind enable-server ID"),
+        (b"READY\n", "unknown command \"READY\""),
+        (b"ready now\n", "too many words after ready"),
+        (b"disable-server\n", "disable-server needs the id of a server"),
+        (b"enable-server \n", "enable-server needs the id of a server"),
+        (b"enable-server a b\n", "too many words after enable-server ID"),
         (b"ready \xff\xfe\n", "the line is not text"),
         (b"ready\0\n", "the line is not text"),
         (long.as_bytes(), "the line is longer than 256 bytes"),
-        (b"read", "no whole line came"),
-        (b"", "no whole line came"),
+        (b"read", "no complete line was received"),
+        (b"", "no complete line was received"),
     ] {
         let answer = admin_command(node.admin_address(), bytes);
         assert!(answer.starts_with("error "), "{answer:?}");
@@ -196,7 +196,7 @@
     for line in ["disable-server s-7", "enable-server s-7", "disable-server S-0"] {
         assert_eq!(
             node.admin_command(line),
-            "error no server of this id is on the list or out of service\n"
+            "error no server with this id is on the list or out of service\n"
         );
     }
     assert!(node.admin_command("disable-server s-0").starts_with("done "));
