--- a/src/node/driver/attempt.rs
+++ b/src/node/driver/attempt.rs
@@ -5,7 +5,7 @@
 use crate::observability::counters::CounterKind;
 use crate::observability::log;
 use crate::observability::request_trace::WithheldReason;
-use crate::system::clock::span;
+use crate::system::clock::clamped_duration;
 use crate::upstream::{Attempt, AttemptEnd, AttemptResult, UpstreamConnection};
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -90,8 +90,8 @@
             endpoint,
             address,
             proxied: open.proxied.clone(),
-            until: begun_at + span(timeout_ms, MAX_SPAN_MS),
-            begin_by: begun_at + span(begin_within_ms, MAX_SPAN_MS),
+            until: begun_at + clamped_duration(timeout_ms, MAX_SPAN_MS),
+            begin_by: begun_at + clamped_duration(begin_within_ms, MAX_SPAN_MS),
             begun_at,
         };
         spawn_local(run_attempt(attempt, report, cancelled));
--- a/src/node/frontend/client_connection.rs
+++ b/src/node/frontend/client_connection.rs
@@ -111,7 +111,7 @@
 
     /// Some of a request has come, and is not read as one yet.
     pub fn has_unread_request(&self) -> bool {
-        self.socket.read() != self.read_when_idle.get()
+        self.socket.bytes_read() != self.read_when_idle.get()
     }
 
     pub fn idle_for(&self) -> Duration {
@@ -144,8 +144,8 @@
     /// The client takes nothing more of the streamed response on its way to it.
     pub fn response_stalled(&self) -> bool {
         let progress = self.write_progress.get();
-        if !self.takes_stream.get() || progress.written != self.socket.written() {
-            let progress = WriteProgress { written: self.socket.written(), since: Instant::now() };
+        if !self.takes_stream.get() || progress.written != self.socket.bytes_written() {
+            let progress = WriteProgress { written: self.socket.bytes_written(), since: Instant::now() };
             self.write_progress.set(progress);
             return false;
         }
@@ -158,7 +158,7 @@
         let declares_length = request.headers().contains_key(CONTENT_LENGTH);
         self.declared_lengths.set(self.declared_lengths.get() + u64::from(declares_length));
         request.headers().contains_key(TRANSFER_ENCODING)
-            && self.socket.length_headers() > self.declared_lengths.get()
+            && self.socket.length_header_count() > self.declared_lengths.get()
     }
 }
 
@@ -184,6 +184,6 @@
         client.takes_stream.set(false);
         client.socket.expect_head();
         client.idle_since.set(Instant::now());
-        client.read_when_idle.set(client.socket.read());
+        client.read_when_idle.set(client.socket.bytes_read());
     }
 }
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -119,7 +119,7 @@
             self.driver.counters.record_violation(Violation::CloseUnanswered, &text);
         }
         match reason {
-            CloseReason::Broken => client.socket.reset(),
+            CloseReason::Broken => client.socket.reset_on_close(),
             CloseReason::Client | CloseReason::Answered => {
                 client.is_closing.set(true);
                 let discarded = client.socket.discard(LINGERING_CLOSE_BYTES);
@@ -181,7 +181,7 @@
             };
             client.takes_stream.set(response.body().is_streamed());
             if response.body().is_streamed() {
-                client.socket.limit_unsent();
+                client.socket.limit_unsent_bytes();
             }
             response.body_mut().hold(in_progress);
             Ok(response)
@@ -193,7 +193,7 @@
         let has_elapsed = client.idle_timeout_elapsed();
         // If this task was polled late, unread bytes may have come in time: the connection gets one more
         // check.
-        let is_late_here = has_elapsed && !check.was_extended && !client.socket.quiet();
+        let is_late_here = has_elapsed && !check.was_extended && !client.socket.is_quiet();
         check.was_extended = is_late_here;
         if has_elapsed && !is_late_here {
             if client.socket.head_begun_at().is_none() {
@@ -258,7 +258,7 @@
         let ParsedRequest { request, proxied, deadline, expires_at, trace_id: _held } = parsed;
         tokio::select! {
             biased;
-            () = socket.left() => Err(ClientLeft),
+            () = socket.peer_closed() => Err(ClientLeft),
             answer = async { self.driver.submit(request, proxied, deadline, expires_at).answer().await } => {
                 Ok(responses::of_answer(answer))
             }
--- a/src/node/frontend/eviction.rs
+++ b/src/node/frontend/eviction.rs
@@ -43,11 +43,11 @@
             ConnectionState::Serving => false,
             ConnectionState::Closing => true,
             ConnectionState::AwaitingFirstRequest => {
-                self.idle_for() > NEW_CONNECTION_GRACE && self.socket.quiet()
+                self.idle_for() > NEW_CONNECTION_GRACE && self.socket.is_quiet()
             }
-            ConnectionState::Idle => self.socket.quiet(),
+            ConnectionState::Idle => self.socket.is_quiet(),
             ConnectionState::ReadingRequest => {
-                self.stuck_for() > STUCK_REQUEST_TIMEOUT && self.socket.quiet()
+                self.stuck_for() > STUCK_REQUEST_TIMEOUT && self.socket.is_quiet()
             }
         }
     }
--- a/src/node/frontend/listener.rs
+++ b/src/node/frontend/listener.rs
@@ -2,9 +2,9 @@
 
 use super::Frontend;
 use super::shutdown::AcceptWindow;
-use crate::system::accept_time;
 use crate::system::acceptor::{AcceptError, Acceptor};
 use crate::system::listener::CLIENT_BACKLOG;
+use crate::system::receive_timestamp;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
@@ -41,7 +41,8 @@
                     // If descriptors are scarce this waits for one: others wait in the backlog and are taken
                     // then.
                     let permit = self.descriptors.take_for_client().await;
-                    let waited_since = accept_time::first_byte(&stream, acceptor.waited_at_most());
+                    let waited_since =
+                        receive_timestamp::first_byte_received_at(&stream, acceptor.max_queue_wait());
                     self.serve(stream, permit, waited_since);
                 }
                 Err(error) => {
--- a/src/node/frontend/mod.rs
+++ b/src/node/frontend/mod.rs
@@ -87,7 +87,7 @@
             client_closed: Notify::new(),
         });
         let weak = Rc::downgrade(&frontend);
-        descriptors.reclaim_from_clients(Box::new(move || {
+        descriptors.set_client_reclaim(Box::new(move || {
             if let Some(frontend) = weak.upgrade() {
                 frontend.evict_one();
             }
--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -6,7 +6,7 @@
 use super::responses::{ClientResponse, closing, full};
 use super::trace_ids::{OpenTraceIds, TraceIdGuard};
 use crate::headers;
-use crate::system::clock::span;
+use crate::system::clock::clamped_duration;
 use crate::upstream::{
     MAX_BODY, MAX_BUFFERED_BODY, MinimumRate, ProxiedRequest, RequestBody, StreamedRequestBody,
 };
@@ -255,7 +255,7 @@
 
 /// For how long the client waits: as it says, and no longer than its class allows.
 fn client_wait(class: &RequestClass, head: &Parts) -> Result<Duration, BadRequest> {
-    let class_wait = span(class.deadline_ms, MAX_DEADLINE_MS);
+    let class_wait = clamped_duration(class.deadline_ms, MAX_DEADLINE_MS);
     let Some(wait) = head.headers.get(headers::TIMEOUT_MS) else { return Ok(class_wait) };
     let wait_ms = wait.to_str().ok().and_then(|wait| wait.trim().parse().ok());
     let wait_ms = wait_ms.ok_or(BadRequest::malformed("X-Expires-In-Ms is no number of milliseconds\n"))?;
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -11,13 +11,13 @@
 use crate::reload;
 use crate::snapshot::Takeover;
 use crate::system::acceptor::Acceptor;
-use crate::system::clock::span;
+use crate::system::clock::clamped_duration;
 use crate::system::descriptors::{self, Descriptors};
 use crate::system::inherited_listener::InheritedListenerError;
 use crate::system::listener::{ADMIN_BACKLOG, CLIENT_BACKLOG, listen};
 use crate::system::signals::SignalReceiver;
 use crate::system::syscall_errors::retry_transient;
-use crate::system::{accept_time, listener};
+use crate::system::{listener, receive_timestamp};
 use crate::upstream::Upstream;
 use serde_json::Value;
 use std::cell::Cell;
@@ -103,8 +103,8 @@
 /// The node cannot start.
 pub async fn run(inherited: Option<std::net::TcpListener>) -> Result<(), StartupError> {
     // Before all else: what these signals do by default is to end the process.
-    let mut terminate = retry_transient(SignalReceiver::terminate).await.map_err(StartupError::Signals)?;
-    let hangup = retry_transient(SignalReceiver::hangup).await.map_err(StartupError::Signals)?;
+    let mut terminate = retry_transient(SignalReceiver::sigterm).await.map_err(StartupError::Signals)?;
+    let hangup = retry_transient(SignalReceiver::sighup).await.map_err(StartupError::Signals)?;
     let config = Config::load()?;
     // Where the platform holds the listening socket, another process may serve in parallel.
     let is_shared = inherited.is_some();
@@ -127,7 +127,7 @@
         None => retry_transient(|| listen(config.listen, CLIENT_BACKLOG)).await,
     };
     let clients = clients.map_err(listen_error("listen", config.listen))?;
-    accept_time::note_times(&clients);
+    receive_timestamp::enable(&clients);
     let admin = match config.admin_listen {
         Some(address) => {
             let bound = retry_transient(|| listener::listen(address, ADMIN_BACKLOG)).await;
@@ -178,7 +178,7 @@
 
 fn longest_deadline(classes: &[RequestClass]) -> Duration {
     let longest_ms = classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
-    span(longest_ms, MAX_SHUTDOWN_DEADLINE_MS)
+    clamped_duration(longest_ms, MAX_SHUTDOWN_DEADLINE_MS)
 }
 
 /// A running node.
--- a/src/node/system/acceptor.rs
+++ b/src/node/system/acceptor.rs
@@ -1,4 +1,5 @@
-//! Accepts connections, and classifies failures to do so.
+//! Accepts connections from a listening socket, classifies the errors of accept, and limits the rate of retries
+//! after them.
 
 use super::descriptors::Descriptors;
 use super::syscall_errors::is_interrupted;
@@ -10,51 +11,53 @@
 use thiserror::Error;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Accepts that fail in a row without a pause: each may concern one connection of the queue.
+/// How many accepts may fail in a row before the next one is delayed. Each failure may concern only one
+/// connection in the queue, so a few of them are no reason to wait.
 const MAX_FAILURES_WITHOUT_PAUSE: u32 = 32;
-/// Pause before the next accept where the system lacks something.
+/// Pause before the next accept if the process or the system lacks a resource.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
-/// Accepts connections of a listening socket.
+/// Accepts connections from one listening socket, and tracks how long they can have waited in its accept queue.
 pub struct Acceptor {
     listener: TcpListener,
     consecutive_failures: Cell<u32>,
-    /// A connection has been accepted.
+    /// Whether this process has accepted any connection.
     has_accepted: Cell<bool>,
-    /// The queue has been empty since the last connection was accepted.
+    /// Whether the accept queue has been found empty since the last connection was accepted.
     was_empty: Cell<bool>,
-    /// Since when it has not been empty; none where that is from before this process.
+    /// Since when the accept queue may have been non-empty; `None` if connections may have waited since before
+    /// this process started.
     filled_since: Cell<Option<Instant>>,
 }
 
 /// Why no connection was accepted.
 #[derive(Debug, Error)]
 pub enum AcceptError {
-    /// It had ended already; there may be others.
-    #[error("the connection had ended already")]
-    Ended,
-    /// This process has no descriptor left.
+    /// The connection had failed or been closed before it was accepted. Others may wait in the queue.
+    #[error("the connection was closed before it was accepted")]
+    ConnectionClosed,
+    /// This process is at its limit of descriptors.
     #[error("no descriptor")]
     OutOfDescriptors,
-    /// The system lacks something for now.
+    /// The system lacks descriptors, buffers or memory for the moment.
     #[error("the system cannot accept for now")]
     System,
 }
 
 impl AcceptError {
-    fn of(error: &io::Error) -> AcceptError {
+    fn classify(error: &io::Error) -> AcceptError {
         match error.raw_os_error() {
             Some(libc::EMFILE) => AcceptError::OutOfDescriptors,
             Some(libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => AcceptError::System,
-            // Linux passes errors on that wait on the new connection.
-            _ => AcceptError::Ended,
+            // Linux also returns network errors that are already pending on the new connection.
+            _ => AcceptError::ConnectionClosed,
         }
     }
 
-    /// In a few words, for the log.
+    /// A short text for the log, under which failures are counted.
     pub fn text(&self) -> &'static str {
         match self {
-            AcceptError::Ended => "gone already",
+            AcceptError::ConnectionClosed => "closed before it was accepted",
             AcceptError::OutOfDescriptors => "no descriptor",
             AcceptError::System => "the system cannot accept for now",
         }
@@ -62,29 +65,32 @@
 }
 
 impl Acceptor {
-    /// For a socket that listens, since when this process began to or, where it inherits one, none.
-    pub fn new(listener: TcpListener, since: Option<Instant>) -> Acceptor {
+    /// `listening_since` is when this process began to listen; `None` if it inherited the socket, on which
+    /// connections may have waited before.
+    pub fn new(listener: TcpListener, listening_since: Option<Instant>) -> Acceptor {
         Acceptor {
             listener,
             consecutive_failures: Cell::new(0),
             has_accepted: Cell::new(false),
             was_empty: Cell::new(false),
-            filled_since: Cell::new(since),
+            filled_since: Cell::new(listening_since),
         }
     }
 
-    /// How long the connection that was accepted last may have waited in the queue; none where nobody can
-    /// tell.
-    pub fn waited_at_most(&self) -> Option<Duration> {
+    /// How long the connection that was accepted last can have waited in the accept queue at most. Returns
+    /// `None` if that is unknown.
+    pub fn max_queue_wait(&self) -> Option<Duration> {
         self.filled_since.get().map(|since| since.elapsed())
     }
 
-    /// The next connection, and a note on whether it had to be waited for: then the queue was empty.
-    async fn accept_noting(&self) -> io::Result<TcpStream> {
+    /// Accepts the next connection. If that had to wait for one, the accept queue was empty until now, and
+    /// `filled_since` is updated.
+    async fn accept_and_track_queue(&self) -> io::Result<TcpStream> {
         poll_fn(|cx| {
             let accepted = self.listener.poll_accept(cx);
             match &accepted {
-                // Before the first connection the poller has not polled yet.
+                // Before the first connection, this result does not prove an empty queue: the poller may not
+                // have asked the system yet.
                 Poll::Pending => self.was_empty.set(self.has_accepted.get()),
                 Poll::Ready(_) if self.was_empty.take() => self.filled_since.set(Some(Instant::now())),
                 Poll::Ready(_) => {}
@@ -95,13 +101,13 @@
         .map(|(stream, _)| stream)
     }
 
-    /// The next connection. Cancelling it loses none.
+    /// Waits for the next connection. Cancelling this future loses no connection.
     ///
     /// # Errors
-    /// What it means that none was accepted.
+    /// The accept failed; the caller calls [`Acceptor::recover`] before the next one.
     pub async fn accept(&self) -> Result<TcpStream, AcceptError> {
         loop {
-            match self.accept_noting().await {
+            match self.accept_and_track_queue().await {
                 Ok(stream) => {
                     self.has_accepted.set(true);
                     self.consecutive_failures.set(0);
@@ -110,22 +116,22 @@
                 Err(error) if is_interrupted(&error) => {}
                 Err(error) => {
                     self.consecutive_failures.set(self.consecutive_failures.get().saturating_add(1));
-                    return Err(AcceptError::of(&error));
+                    return Err(AcceptError::classify(&error));
                 }
             }
         }
     }
 
-    /// Waits until the next accept is worthwhile, after one that failed: an accept that fails may neither
-    /// end the node nor keep it busy. Only where this process has no descriptor left does the close of
-    /// something idle help.
-    pub async fn recover(&self, after: &AcceptError, descriptors: &Descriptors) {
-        if matches!(after, AcceptError::OutOfDescriptors) {
+    /// Waits after a failed accept until the next one is worthwhile, so that failing accepts do not keep the
+    /// event loop busy. If this process is out of descriptors, an idle connection is closed, too; with other
+    /// errors that would not help.
+    pub async fn recover(&self, error: &AcceptError, descriptors: &Descriptors) {
+        if matches!(error, AcceptError::OutOfDescriptors) {
             descriptors.reclaim();
         }
-        let is_worth_trying = matches!(after, AcceptError::Ended)
+        let may_retry_at_once = matches!(error, AcceptError::ConnectionClosed)
             && self.consecutive_failures.get() < MAX_FAILURES_WITHOUT_PAUSE;
-        if !is_worth_trying {
+        if !may_retry_at_once {
             tokio::time::sleep(ACCEPT_PAUSE).await;
         }
     }
--- a/src/node/system/clock.rs
+++ b/src/node/system/clock.rs
@@ -1,47 +1,54 @@
-//! The clock of the decisions, which is monotonic, and how moments of the wall clock are found on it.
+//! The balancer's clock, which is monotonic, and the conversion of wall clock times to it.
 //!
-//! The wall clock may be stepped, forward or back. Other machines state moments by it, such as when an
-//! endpoint started, and these are needed as spans of real time. So the node keeps what the difference
-//! between the two clocks was, and when: a time of the wall clock is converted by the part of that history
-//! in which the wall clock showed it.
+//! Other machines state times by the wall clock, for example when an endpoint started. The node needs to know how
+//! long ago that was, but the wall clock may have been stepped since, forward or back. The node therefore keeps a
+//! history of the offset between the two clocks. A wall clock time is converted with the offset that applied
+//! when the wall clock showed that time.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A smaller change of the difference is drift, or the time between the two readings.
+/// Smallest change of the offset that counts as a step of the wall clock. Smaller changes are drift, or the time
+/// that passes between reading the two clocks.
 const MIN_STEP_MS: f64 = 100.0;
-/// Both clocks are read again where reading them took longer than this: the process may be suspended in
-/// between.
+/// Longest time in which both clocks must have been read. The process may be suspended between the two readings,
+/// which would look like a step, so a slower reading is discarded and repeated.
 const MAX_READ_TIME: Duration = Duration::from_millis(5);
+/// How often a slow reading of both clocks is repeated before it is given up.
 const READ_ATTEMPTS: u32 = 4;
-/// Steps that are remembered. Earlier steps are older than any slow start.
+/// How many periods between steps are remembered. Steps before them are older than any slow start.
 const MAX_PERIODS: usize = 16;
 
-/// A span of so many milliseconds, at most `max_ms`: settings and decisions may state any number.
-pub fn span(ms: f64, max_ms: f64) -> Duration {
+/// Converts `ms` milliseconds to a duration between 0 and `max_ms`. Settings and the balancer may state any
+/// number, infinity included, which [`Duration`] could not represent.
+pub fn clamped_duration(ms: f64, max_ms: f64) -> Duration {
     Duration::from_secs_f64(ms.clamp(0.0, max_ms) / 1000.0)
 }
 
-/// A time in which the difference between the clocks was the same.
+/// A period between two steps of the wall clock, in which the offset between the clocks was constant.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Period {
-    /// Wall clock less monotonic clock, in milliseconds.
+struct OffsetPeriod {
+    /// Wall clock minus monotonic clock, in milliseconds.
     offset_ms: f64,
-    /// From when on, on the monotonic clock.
+    /// Begin of the period, on the monotonic clock: the last reading before the step. Minus infinity for the
+    /// first period.
     from_ms: f64,
-    /// Until when. Between two readings the step may have come at any time, so that two periods may
-    /// overlap.
+    /// The last reading of the period, on the monotonic clock.
     until_ms: f64,
 }
 
-/// What the difference between the clocks has been.
+/// The history of the offset between the wall clock and the monotonic clock.
+///
+/// A step is noticed only at the next reading, so it is not known when it came between two readings. The new
+/// period therefore begins at the last reading before the step.
 #[derive(Debug, Default)]
-struct WallHistory {
-    periods: Vec<Period>,
+struct WallClockHistory {
+    periods: Vec<OffsetPeriod>,
 }
 
-impl WallHistory {
-    /// Takes in one reading of both clocks.
+impl WallClockHistory {
+    /// Adds a reading of both clocks: extends the latest period, or begins a new one if the wall clock was
+    /// stepped.
     fn record(&mut self, now_ms: f64, wall_ms: f64) {
         let offset_ms = wall_ms - now_ms;
         match self.periods.last_mut() {
@@ -51,7 +58,7 @@
             }
             last => {
                 let from_ms = last.map_or(f64::NEG_INFINITY, |last| last.until_ms);
-                self.periods.push(Period { offset_ms, from_ms, until_ms: now_ms });
+                self.periods.push(OffsetPeriod { offset_ms, from_ms, until_ms: now_ms });
             }
         }
         if self.periods.len() > MAX_PERIODS {
@@ -59,71 +66,70 @@
         }
     }
 
-    /// When the wall clock showed `wall_ms`: where that was more than once, the last time. None if it never
-    /// did.
+    /// When the wall clock showed `wall_ms`, on the monotonic clock. If it showed that time more than once,
+    /// because it was stepped back, the last occurrence counts. Returns `None` if it never showed that time.
     fn find(&self, wall_ms: f64) -> Option<f64> {
-        let shown = self.periods.iter().filter_map(|period| {
+        let occurrences = self.periods.iter().filter_map(|period| {
             let at_ms = wall_ms - period.offset_ms;
             (period.from_ms <= at_ms && at_ms <= period.until_ms).then_some(at_ms)
         });
-        shown.reduce(f64::max)
+        occurrences.reduce(f64::max)
     }
 }
 
-/// The decisions' clock: milliseconds from an arbitrary start, monotonic.
+/// The balancer's clock: monotonic, in milliseconds from an arbitrary origin.
 pub struct Clock {
     start: Instant,
     start_ms: f64,
-    wall: RefCell<WallHistory>,
+    wall_history: RefCell<WallClockHistory>,
 }
 
 impl Clock {
-    /// Starts now.
+    /// Starts the clock at the present wall clock time. It does not follow later steps of the wall clock.
     pub fn new() -> Clock {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let clock = Clock {
             start: Instant::now(),
             start_ms: wall.as_secs_f64() * 1000.0,
-            wall: RefCell::default(),
+            wall_history: RefCell::default(),
         };
         clock.observe_wall();
         clock
     }
 
-    /// Now.
+    /// The current time of this clock, in milliseconds.
     pub fn now_ms(&self) -> f64 {
         self.at_ms(Instant::now())
     }
 
-    /// A moment since the start, on this clock.
+    /// Converts an instant to milliseconds on this clock. Instants before the clock's start give the start.
     pub fn at_ms(&self, at: Instant) -> f64 {
         self.start_ms + at.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
-    /// When a moment of this clock comes.
+    /// Converts milliseconds on this clock to an instant, which is not before the clock's start.
     pub fn instant(&self, at_ms: f64) -> Instant {
         self.start + Duration::from_secs_f64(((at_ms - self.start_ms) / 1000.0).clamp(0.0, 1e9))
     }
 
-    /// Notes a step of the wall clock, if there was one. To be called now and then, and before a time is
-    /// converted.
+    /// Reads both clocks to notice a step of the wall clock. Called periodically, and before each conversion.
     pub fn observe_wall(&self) {
         for _ in 0..READ_ATTEMPTS {
             let before = Instant::now();
             let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             if before.elapsed() < MAX_READ_TIME {
-                self.wall.borrow_mut().record(self.at_ms(before), wall.as_secs_f64() * 1000.0);
+                self.wall_history.borrow_mut().record(self.at_ms(before), wall.as_secs_f64() * 1000.0);
                 return;
             }
         }
     }
 
-    /// When something happened that others state by the wall clock; now, if that clock has not shown this
-    /// moment.
+    /// Converts a wall clock time, in milliseconds since 1970, to this clock. Returns the current time if the
+    /// wall clock of this machine has never shown that time, or if it lies in the future.
     pub fn wall_to_monotonic(&self, wall_ms: f64) -> f64 {
         self.observe_wall();
         let now_ms = self.now_ms();
-        self.wall.borrow().find(wall_ms).map_or(now_ms, |at_ms| at_ms.min(now_ms))
+        self.wall_history.borrow().find(wall_ms).map_or(now_ms, |at_ms| at_ms.min(now_ms))
     }
 }
 
--- a/src/node/system/descriptors.rs
+++ b/src/node/system/descriptors.rs
@@ -1,88 +1,93 @@
-//! How many descriptors the sockets of this process hold, against its limit.
+//! Limits how many file descriptors the sockets of this process use.
 //!
-//! Clients, endpoints and discovery share one limit, and idle clients alone may fill it. So every socket
-//! takes a permit; where none is left something idle is closed for it, and some are reserved for the node's
-//! own calls.
+//! Sockets to clients, endpoints and discovery share one limit of the process, and idle clients alone could use
+//! it up. Every socket therefore needs a permit. If no permit is left, an idle connection is closed to free one.
+//! Some permits are kept from clients, and calls of the node itself do not wait for a permit.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Descriptors reserved for all that is not counted or does not wait: standard streams, the poller, the
-/// listener, UDP, discovery, the configuration read again, and a connection just accepted.
+/// Descriptors set aside for everything that has no permit or does not wait for one: standard streams, the
+/// poller, the listening socket, UDP, discovery, a reload of the configuration, and a connection that was just
+/// accepted.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The count has at least so many, whatever the limit.
-const MIN_DESCRIPTORS: usize = 8;
-/// Clients may hold all but this part of them.
-const KEPT_FROM_CLIENTS_PART: usize = 3;
-/// A wait for a permit checks again after this time: a connection that was to close may have become busy.
+/// Minimum number of permits, however low the limit of the process is.
+const MIN_PERMITS: usize = 8;
+/// One part in this many of the permits is kept from clients.
+const KEPT_FROM_CLIENTS_DIVISOR: usize = 3;
+/// How often a wait for a permit tries again to close an idle connection: one that was about to close may have
+/// become busy instead.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Closes something idle. True if a descriptor was freed at once; false if none was, or it will be soon.
+/// Closes an idle connection. Returns true if that freed a descriptor at once, false if there is no idle
+/// connection or the descriptor will be freed later.
 type Reclaim = Box<dyn Fn() -> bool>;
 
-/// How many descriptors the system lets this process hold, where it says so.
+/// The soft limit of the system on open descriptors of this process. Returns `None` if it is unlimited or
+/// unknown.
 pub fn system_limit() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
-/// One count over the sockets of clients, endpoints and discovery.
+/// The permits for descriptors that the sockets to clients, endpoints and discovery share.
 pub struct Descriptors {
+    /// Permits in use, including those taken without waiting, so it may exceed `limit`.
     used: Cell<usize>,
-    /// How many of those are clients'.
+    /// Permits in use by clients; part of `used`.
     used_by_clients: Cell<usize>,
     limit: usize,
     freed: Notify,
-    idle_endpoint_connections: RefCell<Option<Reclaim>>,
-    idle_clients: RefCell<Option<Reclaim>>,
+    endpoint_connection_reclaim: RefCell<Option<Reclaim>>,
+    client_reclaim: RefCell<Option<Reclaim>>,
 }
 
 impl Descriptors {
-    /// The count of a process that may hold so many descriptors.
+    /// Creates the permits of a process that may use `descriptors` descriptors in all.
     pub fn new(descriptors: usize) -> Rc<Descriptors> {
         Rc::new(Descriptors {
             used: Cell::new(0),
             used_by_clients: Cell::new(0),
-            limit: descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS),
+            limit: descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_PERMITS),
             freed: Notify::new(),
-            idle_endpoint_connections: RefCell::default(),
-            idle_clients: RefCell::default(),
+            endpoint_connection_reclaim: RefCell::default(),
+            client_reclaim: RefCell::default(),
         })
     }
 
-    /// How many sockets may be open.
+    /// The number of permits.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Sets the way to close an idle connection to an endpoint.
-    pub fn reclaim_from_endpoints(&self, reclaim: Reclaim) {
-        *self.idle_endpoint_connections.borrow_mut() = Some(reclaim);
+    /// Sets how an idle connection to an endpoint is closed.
+    pub fn set_endpoint_connection_reclaim(&self, reclaim: Reclaim) {
+        *self.endpoint_connection_reclaim.borrow_mut() = Some(reclaim);
     }
 
-    /// Sets the way to close an idle client's connection.
-    pub fn reclaim_from_clients(&self, reclaim: Reclaim) {
-        *self.idle_clients.borrow_mut() = Some(reclaim);
+    /// Sets how an idle client connection is closed.
+    pub fn set_client_reclaim(&self, reclaim: Reclaim) {
+        *self.client_reclaim.borrow_mut() = Some(reclaim);
     }
 
     fn reclaim_client(&self) -> bool {
-        self.idle_clients.borrow().as_ref().is_some_and(|reclaim| reclaim())
+        self.client_reclaim.borrow().as_ref().is_some_and(|reclaim| reclaim())
     }
 
     fn reclaim_endpoint_connection(&self) -> bool {
-        self.idle_endpoint_connections.borrow().as_ref().is_some_and(|reclaim| reclaim())
+        self.endpoint_connection_reclaim.borrow().as_ref().is_some_and(|reclaim| reclaim())
     }
 
-    /// Closes something idle, also for when the system itself has run out. True if a descriptor was freed
-    /// at once.
+    /// Closes an idle connection to an endpoint or, if there is none, to a client. Also of use when permits are
+    /// left but the system has run out of descriptors. Returns true if a descriptor was freed at once.
     pub fn reclaim(&self) -> bool {
         self.reclaim_endpoint_connection() || self.reclaim_client()
     }
 
-    /// Waits for a permit; if none is free, an idle connection is closed for it.
+    /// Waits for a permit. If none is free, an idle connection is closed to free one.
     pub async fn take(self: &Rc<Self>) -> DescriptorPermit {
         while self.used.get() >= self.limit {
             if !self.reclaim() {
@@ -92,18 +97,18 @@
         self.take_without_waiting()
     }
 
-    /// Waits for a permit for a new client. Clients have two thirds of them, whoever they are: an attempt
-    /// for one that is there is better than one client more, and a connection to an endpoint costs more
-    /// than a client's.
+    /// Waits for a permit for a new client. All clients together get at most two thirds of the permits: an
+    /// attempt for a client that is connected is worth more than another client, and a connection to an
+    /// endpoint costs more than one to a client.
     pub async fn take_for_client(self: &Rc<Self>) -> DescriptorPermit {
-        let max_clients = self.limit - self.limit / KEPT_FROM_CLIENTS_PART;
+        let max_clients = self.limit - self.limit / KEPT_FROM_CLIENTS_DIVISOR;
         loop {
-            let is_client_free = self.used_by_clients.get() < max_clients;
-            if is_client_free && self.used.get() < self.limit {
+            let is_below_client_limit = self.used_by_clients.get() < max_clients;
+            if is_below_client_limit && self.used.get() < self.limit {
                 break;
             }
-            let has_freed = if is_client_free { self.reclaim() } else { self.reclaim_client() };
-            if !has_freed {
+            let was_freed = if is_below_client_limit { self.reclaim() } else { self.reclaim_client() };
+            if !was_freed {
                 self.wait_for_freed().await;
             }
         }
@@ -113,7 +118,8 @@
         permit
     }
 
-    /// A permit at once, for the node's own calls: these are few, and must not wait behind clients.
+    /// Takes a permit at once, even beyond the limit, for connections of the node itself and of operators.
+    /// These are few and must not wait behind clients.
     pub fn take_without_waiting(self: &Rc<Self>) -> DescriptorPermit {
         self.used.set(self.used.get() + 1);
         DescriptorPermit { descriptors: self.clone(), is_client: false }
@@ -124,7 +130,7 @@
     }
 }
 
-/// The right to one descriptor, given back when dropped.
+/// The permit to use one descriptor. It is returned when dropped.
 pub struct DescriptorPermit {
     descriptors: Rc<Descriptors>,
     is_client: bool,
--- a/src/node/system/length_headers.rs
+++ b/src/node/system/length_headers.rs
@@ -1,38 +1,39 @@
-//! Counts the header lines of request heads that state a body's length.
+//! Counts the Content-Length lines in request heads, to detect request smuggling.
 //!
-//! A request that states its length in two ways may be meant to smuggle another past the node. hyper drops
-//! the length of a request that comes in chunks too, so the bytes themselves are scanned.
+//! A request with both a Content-Length and a chunked body may be an attempt to smuggle a second request past
+//! the node. For a chunked request, hyper drops the Content-Length header, so that the node would not see it.
+//! The received bytes are therefore scanned for it.
 
-/// The start of a header line that states a body's length, in small letters.
+/// The start of a Content-Length line, in lower case.
 const CONTENT_LENGTH: &[u8] = b"content-length:";
 
-/// Scans the bytes of a head as they come.
+/// Scans the bytes of request heads as they are received.
 #[derive(Clone, Copy, Default)]
 pub(super) struct LengthHeaderCounter {
-    /// Content-Length lines.
-    seen: u64,
-    /// How much of the line has come that the last byte belongs to, without its end.
+    /// Content-Length lines in all heads so far.
+    count: u64,
+    /// Length of the current line so far, without its line break.
     line_bytes: usize,
-    /// All of that agrees with `CONTENT_LENGTH`, as far as that goes.
-    line_agrees: bool,
-    /// A line with something in it has come: an empty one ends the head.
+    /// Whether the current line so far matches [`CONTENT_LENGTH`], up to the length of that.
+    line_matches: bool,
+    /// Whether the head has a line that is not empty. After that, an empty line ends the head.
     has_begun: bool,
-    /// The head is over.
+    /// Whether the head has ended.
     is_in_body: bool,
 }
 
 impl LengthHeaderCounter {
-    /// For the next head, with the count so far.
+    /// A counter for the next head, which continues the count.
     pub fn expect_head(self) -> LengthHeaderCounter {
-        LengthHeaderCounter { seen: self.seen, ..LengthHeaderCounter::default() }
+        LengthHeaderCounter { count: self.count, ..LengthHeaderCounter::default() }
     }
 
-    /// Content-Length lines, in all heads.
-    pub fn seen(self) -> u64 {
-        self.seen
+    /// The number of Content-Length lines in all heads so far.
+    pub fn count(self) -> u64 {
+        self.count
     }
 
-    /// Scans what was read.
+    /// Scans bytes that were received next.
     pub fn record(&mut self, bytes: &[u8]) {
         for byte in bytes {
             if self.is_in_body {
@@ -49,12 +50,12 @@
             b'\r' => {}
             _ => {
                 self.has_begun = true;
-                let wanted = CONTENT_LENGTH.get(self.line_bytes);
-                let agrees = wanted.is_none_or(|wanted| *wanted == byte.to_ascii_lowercase());
-                self.line_agrees = (self.line_bytes == 0 || self.line_agrees) && agrees;
+                let expected = CONTENT_LENGTH.get(self.line_bytes);
+                let byte_matches = expected.is_none_or(|expected| *expected == byte.to_ascii_lowercase());
+                self.line_matches = (self.line_bytes == 0 || self.line_matches) && byte_matches;
                 self.line_bytes += 1;
-                let is_told = self.line_agrees && self.line_bytes == CONTENT_LENGTH.len();
-                self.seen += u64::from(is_told);
+                let is_complete_match = self.line_matches && self.line_bytes == CONTENT_LENGTH.len();
+                self.count += u64::from(is_complete_match);
             }
         }
     }
--- a/src/node/system/mod.rs
+++ b/src/node/system/mod.rs
@@ -1,10 +1,9 @@
-//! The system underneath: clocks, signals, sockets, descriptors, and what errors of system calls mean.
+//! Wraps the operating system: clocks, signals, sockets, file descriptors, and the errors of system calls.
 //!
-//! System calls fail in all the ways that Linux documents, and most of these failures concern this machine
-//! for a moment and nobody else. [`syscall_errors`] tells which; everything here that makes calls goes by
-//! that.
+//! System calls may fail in all the ways that Linux documents. Most of these failures are transient and local
+//! to this machine, and must not be blamed on a client or an endpoint. [`syscall_errors`] classifies them, and
+//! the other modules here act on that classification.
 
-pub mod accept_time;
 pub mod acceptor;
 pub mod clock;
 pub mod connect;
@@ -12,6 +11,7 @@
 pub mod inherited_listener;
 mod length_headers;
 pub mod listener;
+pub mod receive_timestamp;
 pub mod retry;
 pub mod signals;
 pub mod socket;
--- a/src/node/system/retry.rs
+++ b/src/node/system/retry.rs
@@ -1,12 +1,12 @@
-//! Makes a call again that failed.
+//! Retries a failing call at a fixed interval.
 
 use std::time::Duration;
 
-/// Makes a call until it succeeds or fails with an error that `may_retry` denies, with a pause between two
-/// attempts.
+/// Makes a call until it succeeds, or until `may_retry` returns false for its error. Waits for `pause` before
+/// each retry.
 ///
 /// # Errors
-/// The last error.
+/// The last error of the call.
 pub async fn retry<T, E>(
     pause: Duration,
     call: impl Fn() -> Result<T, E>,
@@ -15,7 +15,7 @@
     loop {
         match call() {
             Err(error) if may_retry(&error) => tokio::time::sleep(pause).await,
-            ended => return ended,
+            result => return result,
         }
     }
 }
--- a/src/node/system/signals.rs
+++ b/src/node/system/signals.rs
@@ -1,7 +1,7 @@
-//! Signals of the platform, on their way from a handler to the event loop.
+//! Delivers signals from their handler to the event loop.
 //!
-//! The handler sets a flag and writes a byte to a socket pair, which wakes the loop. A call that is
-//! interrupted may lose the byte, so the flag is also checked now and then.
+//! The handler sets a flag and writes a byte to a socket pair, which wakes the event loop. An interrupted call
+//! may lose the byte, so the flag is also checked periodically.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::{flag, low_level};
@@ -12,43 +12,45 @@
 use std::time::Duration;
 use tokio::net::UnixStream;
 
-/// How soon a signal is noticed whose byte was lost.
+/// How often the flag is checked: a signal whose byte was lost is noticed after this time.
 const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One kind of signal. Several that come at once may be reported as one.
+/// Receives one kind of signal. Several signals in quick succession may be received as one.
 pub struct SignalReceiver {
-    raised: Arc<AtomicBool>,
-    wake: UnixStream,
+    /// Set by the handler, cleared when the signal is received.
+    is_raised: Arc<AtomicBool>,
+    /// Becomes readable when the handler has run.
+    wakeups: UnixStream,
 }
 
 impl SignalReceiver {
-    /// SIGTERM: the process is to end.
-    pub fn terminate() -> io::Result<SignalReceiver> {
-        SignalReceiver::of(SIGTERM)
+    /// Receives SIGTERM, on which the process shuts down.
+    pub fn sigterm() -> io::Result<SignalReceiver> {
+        SignalReceiver::register(SIGTERM)
     }
 
-    /// SIGHUP: there is a new configuration.
-    pub fn hangup() -> io::Result<SignalReceiver> {
-        SignalReceiver::of(SIGHUP)
+    /// Receives SIGHUP, on which the process reloads its configuration.
+    pub fn sighup() -> io::Result<SignalReceiver> {
+        SignalReceiver::register(SIGHUP)
     }
 
-    fn of(signal: i32) -> io::Result<SignalReceiver> {
-        let raised = Arc::new(AtomicBool::new(false));
-        let (wake, handler) = StdUnixStream::pair()?;
-        wake.set_nonblocking(true)?;
-        // In this order, the flag is set when the loop is woken.
-        flag::register(signal, raised.clone())?;
-        low_level::pipe::register(signal, handler)?;
-        Ok(SignalReceiver { raised, wake: UnixStream::from_std(wake)? })
+    fn register(signal: i32) -> io::Result<SignalReceiver> {
+        let is_raised = Arc::new(AtomicBool::new(false));
+        let (wakeups, handler_end) = StdUnixStream::pair()?;
+        wakeups.set_nonblocking(true)?;
+        // Handlers run in the order of registration, so the flag is set before the event loop is woken.
+        flag::register(signal, is_raised.clone())?;
+        low_level::pipe::register(signal, handler_end)?;
+        Ok(SignalReceiver { is_raised, wakeups: UnixStream::from_std(wakeups)? })
     }
 
-    /// Waits for the next one.
+    /// Waits for the next signal.
     pub async fn recv(&mut self) {
-        while !self.raised.swap(false, Ordering::SeqCst) {
-            // Late or in error, the flag decides.
-            let _ = tokio::time::timeout(FLAG_CHECK_INTERVAL, self.wake.readable()).await;
+        while !self.is_raised.swap(false, Ordering::SeqCst) {
+            // A timeout and an error mean the same here: the flag is checked again.
+            let _ = tokio::time::timeout(FLAG_CHECK_INTERVAL, self.wakeups.readable()).await;
             let mut bytes = [0; 64];
-            let _ = self.wake.try_read(&mut bytes);
+            let _ = self.wakeups.try_read(&mut bytes);
         }
     }
 }
--- a/src/node/system/socket.rs
+++ b/src/node/system/socket.rs
@@ -1,4 +1,4 @@
-//! One TCP socket that counts what goes through it.
+//! A TCP socket that counts the bytes that it transfers and observes the request heads that it receives.
 
 use super::descriptors::DescriptorPermit;
 use super::length_headers::LengthHeaderCounter;
@@ -13,69 +13,71 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What the system may hold unsent of a streamed response, in bytes: a client at the slowest rate allowed
-/// takes as much in two seconds.
+/// How many bytes of a streamed response the system may hold unsent. A client at the slowest rate allowed takes
+/// as many in two seconds.
 const MAX_UNSENT_BYTES: u32 = 128 * 1024;
 
 struct Inner {
     stream: TcpStream,
-    read: Cell<u64>,
-    written: Cell<u64>,
-    /// When the first byte of the present head was read.
+    bytes_read: Cell<u64>,
+    bytes_written: Cell<u64>,
+    /// When the first byte of the current head was read; `None` if none of it has been read.
     head_begun_at: Cell<Option<Instant>>,
-    /// None where nobody wants to know.
+    /// `None` until [`Socket::expect_head`] is called, so for connections that receive no requests.
     length_headers: Cell<Option<LengthHeaderCounter>>,
     _permit: DescriptorPermit,
 }
 
-/// A counted socket. Clones are the same socket; it closes with the last of them.
+/// A TCP socket with its descriptor permit. Clones refer to the same socket, which is closed with the last
+/// clone.
 #[derive(Clone)]
 pub struct Socket(Rc<Inner>);
 
 impl Socket {
     /// Wraps a connected stream.
     pub fn new(stream: TcpStream, permit: DescriptorPermit) -> Socket {
-        // Without this small answers wait for acknowledgements; a socket that refuses it still works.
+        // Disables Nagle's algorithm, with which small responses wait for acknowledgements. If this fails, the
+        // socket still works.
         let _ = stream.set_nodelay(true);
         Socket(Rc::new(Inner {
             stream,
-            read: Cell::new(0),
-            written: Cell::new(0),
+            bytes_read: Cell::new(0),
+            bytes_written: Cell::new(0),
             head_begun_at: Cell::new(None),
             length_headers: Cell::new(None),
             _permit: permit,
         }))
     }
 
-    /// Bytes read so far.
-    pub fn read(&self) -> u64 {
-        self.0.read.get()
+    /// Bytes read through this socket so far, without those that were peeked at or discarded.
+    pub fn bytes_read(&self) -> u64 {
+        self.0.bytes_read.get()
     }
 
-    /// Bytes written so far.
-    pub fn written(&self) -> u64 {
-        self.0.written.get()
+    /// Bytes handed to the system for sending so far.
+    pub fn bytes_written(&self) -> u64 {
+        self.0.bytes_written.get()
     }
 
-    /// The next byte that is read begins a head.
+    /// Declares that the next byte that is read begins a request head.
     pub fn expect_head(&self) {
         self.0.head_begun_at.set(None);
         let counter = self.0.length_headers.get().unwrap_or_default();
         self.0.length_headers.set(Some(counter.expect_head()));
     }
 
-    /// When the present head began.
+    /// When the first byte of the current head was read. Returns `None` if none of it has been read.
     pub fn head_begun_at(&self) -> Option<Instant> {
         self.0.head_begun_at.get()
     }
 
-    /// How many Content-Length lines have come since heads were first expected.
-    pub fn length_headers(&self) -> u64 {
-        self.0.length_headers.get().map_or(0, LengthHeaderCounter::seen)
+    /// How many Content-Length lines all heads have had since the first call of [`Socket::expect_head`].
+    pub fn length_header_count(&self) -> u64 {
+        self.0.length_headers.get().map_or(0, LengthHeaderCounter::count)
     }
 
     fn record_read(&self, bytes: &[u8]) {
-        self.0.read.set(self.0.read.get() + bytes.len() as u64);
+        self.0.bytes_read.set(self.0.bytes_read.get() + bytes.len() as u64);
         if !bytes.is_empty() && self.0.head_begun_at.get().is_none() {
             self.0.head_begun_at.set(Some(Instant::now()));
         }
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Reads so many bytes, or to the end, without keeping any.
+    /// Reads and discards up to `max_bytes`, rounded up to a whole read, until the peer closes the connection
+    /// or an error occurs.
     pub async fn discard(&self, mut max_bytes: usize) {
         let mut discarded = [0; 4096];
         while max_bytes > 0 && self.0.stream.readable().await.is_ok() {
@@ -98,31 +101,34 @@
         }
     }
 
-    /// Has the system hold little of what is written: however slow the other side takes it, that shows in
-    /// what can still be written. Otherwise megabytes wait there, and nothing moves here for many seconds.
-    pub fn limit_unsent(&self) {
-        // Where the system refuses, a slow client is harder to distinguish from a stalled one.
+    /// Limits the unsent bytes in the system's send buffer, so that the progress of a slow client shows in how
+    /// much can be written. Without the limit, megabytes wait in that buffer, and nothing can be written for
+    /// many seconds although the client is reading.
+    pub fn limit_unsent_bytes(&self) {
+        // If this fails, a slow client is harder to distinguish from a stalled one.
         let _ = socket2::SockRef::from(&self.0.stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES);
     }
 
-    /// Its close will not look like an orderly end.
-    pub fn reset(&self) {
-        // If this fails, the other side still has no complete response.
+    /// Has the connection reset when the socket is closed, so that the peer does not take the close for the
+    /// regular end of a response.
+    pub fn reset_on_close(&self) {
+        // If this fails, the peer still has an incomplete response.
         let _ = socket2::SockRef::from(&self.0.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// Waits until the other side has ended its sending or reset the connection, also where what it sent
-    /// before that is not read yet.
-    pub async fn left(&self) {
-        // What waits to be read does not end a wait for urgent data, and the end of reading does.
+    /// Waits until the peer has closed its sending side or reset the connection, even if bytes that it sent
+    /// before are still unread.
+    pub async fn peer_closed(&self) {
+        // Interest in urgent data alone: unread bytes do not end this wait, but a close or reset does.
         match self.0.stream.ready(Interest::PRIORITY).await {
             Ok(ready) if !ready.is_read_closed() => std::future::pending().await,
             _ => {}
         }
     }
 
-    /// Asks the system, not the poller: nothing to read and no end in sight.
-    pub fn quiet(&self) -> bool {
+    /// Whether the socket has no unread bytes and the peer has neither closed nor reset the connection. Asks the
+    /// system, because the poller may not have reported the latest state yet.
+    pub fn is_quiet(&self) -> bool {
         let mut byte = [std::mem::MaybeUninit::uninit()];
         loop {
             match socket2::SockRef::from(&self.0.stream).peek(&mut byte) {
@@ -133,8 +139,8 @@
     }
 }
 
-/// The connection is intact, but the system's buffers are full for the moment: the task is polled again.
-fn try_later<T>(cx: &Context<'_>) -> Poll<T> {
+/// Has the task polled again, because the system lacks buffers for the moment while the connection is intact.
+fn poll_again<T>(cx: &Context<'_>) -> Poll<T> {
     cx.waker().wake_by_ref();
     Poll::Pending
 }
@@ -155,7 +161,7 @@
                     return Poll::Ready(Ok(()));
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock || is_interrupted(&e) => {}
-                Err(e) if is_out_of_buffers(&e) => return try_later(cx),
+                Err(e) if is_out_of_buffers(&e) => return poll_again(cx),
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
@@ -163,7 +169,8 @@
 }
 
 impl Socket {
-    fn poll_counted(
+    /// Calls `write` when the socket is writable, and counts the bytes that it wrote.
+    fn poll_counted_write(
         &self,
         cx: &mut Context<'_>,
         write: impl Fn(&TcpStream) -> io::Result<usize>,
@@ -172,11 +179,11 @@
             ready!(self.0.stream.poll_write_ready(cx))?;
             match write(&self.0.stream) {
                 Ok(n) => {
-                    self.0.written.set(self.0.written.get() + n as u64);
+                    self.0.bytes_written.set(self.0.bytes_written.get() + n as u64);
                     return Poll::Ready(Ok(n));
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock || is_interrupted(&e) => {}
-                Err(e) if is_out_of_buffers(&e) => return try_later(cx),
+                Err(e) if is_out_of_buffers(&e) => return poll_again(cx),
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
@@ -185,7 +192,7 @@
 
 impl AsyncWrite for Socket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_counted(cx, |s| s.try_write(buf))
+        self.poll_counted_write(cx, |s| s.try_write(buf))
     }
 
     fn poll_write_vectored(
@@ -193,7 +200,7 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_counted(cx, |s| s.try_write_vectored(bufs))
+        self.poll_counted_write(cx, |s| s.try_write_vectored(bufs))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -93,7 +93,7 @@
 
 impl Carried {
     fn by(connection: &UpstreamConnection) -> Carried {
-        Carried { read: connection.socket.read(), written: connection.socket.written() }
+        Carried { read: connection.socket.bytes_read(), written: connection.socket.bytes_written() }
     }
 }
 
@@ -121,7 +121,7 @@
         // Silence says nothing about the connection.
         if let Some(received) = &received {
             let is_broken = matches!(received, Err(ExchangeError::Broken(_)));
-            self.record_use(idle_for, is_broken && connection.socket.read() == before.read);
+            self.record_use(idle_for, is_broken && connection.socket.bytes_read() == before.read);
         }
         let error = match received {
             Some(Ok(response)) => return end_of_response(response, connection),
@@ -151,7 +151,7 @@
     let overdue = async {
         attempt.overdue().await;
         // Bytes that the system has by then came in time, even if this task is polled late.
-        if !socket.quiet() {
+        if !socket.is_quiet() {
             tokio::time::sleep(LAST_READ_TIME).await;
         }
     };
@@ -181,9 +181,9 @@
     if attempt.proxied.incomplete_body().is_some() {
         // An endpoint runs nothing before the last byte: neither the client's fault nor its own.
         AttemptOutcome::NotSent
-    } else if connection.socket.written() == before.written {
+    } else if connection.socket.bytes_written() == before.written {
         AttemptOutcome::ConnectFailed
-    } else if connection.socket.read() == before.read {
+    } else if connection.socket.bytes_read() == before.read {
         AttemptOutcome::TimedOut
     } else {
         // An endpoint that says anything at all is not silent.
@@ -203,7 +203,7 @@
         return AttemptOutcome::NotSent;
     }
     // Not one byte of it left this node, or not the last one: it never ran.
-    if incomplete.is_some() || connection.socket.written() == before.written {
+    if incomplete.is_some() || connection.socket.bytes_written() == before.written {
         return AttemptOutcome::ConnectFailed;
     }
     // What was written may have run.
--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -197,7 +197,7 @@
 
     /// Open at both ends and with nothing unread, which would be its close.
     pub fn is_alive(&self) -> bool {
-        self.connection.is_some() && !self.sender.is_closed() && self.socket.quiet()
+        self.connection.is_some() && !self.sender.is_closed() && self.socket.is_quiet()
     }
 
     /// Ready for another request.
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -2,7 +2,7 @@
 
 use super::connection::UpstreamConnection;
 use super::idle_age::IdleAgeStatistics;
-use crate::system::clock::span;
+use crate::system::clock::clamped_duration;
 use crate::system::connect::ConnectError;
 use crate::system::descriptors::Descriptors;
 use std::cell::RefCell;
@@ -66,14 +66,14 @@
         let upstream = Rc::new(Upstream {
             idle: RefCell::default(),
             descriptors: descriptors.clone(),
-            connect_timeout: span(connect_timeout_ms, MAX_TIMEOUT_MS),
-            idle_timeout: span(idle_timeout_ms * IDLE_TIMEOUT_PART, MAX_TIMEOUT_MS),
+            connect_timeout: clamped_duration(connect_timeout_ms, MAX_TIMEOUT_MS),
+            idle_timeout: clamped_duration(idle_timeout_ms * IDLE_TIMEOUT_PART, MAX_TIMEOUT_MS),
             idle_ages: RefCell::new(IdleAgeStatistics::new()),
             buffer,
         });
         let weak = Rc::downgrade(&upstream);
         let reclaim = move || weak.upgrade().is_some_and(|upstream| upstream.close_oldest());
-        descriptors.reclaim_from_endpoints(Box::new(reclaim));
+        descriptors.set_endpoint_connection_reclaim(Box::new(reclaim));
         upstream
     }
 
