--- a/src/node/admin/command.rs
+++ b/src/node/admin/command.rs
@@ -16,8 +16,8 @@
     Disable(&'a str),
     /// Puts the endpoint with this name back into service.
     Enable(&'a str),
-    /// Drains the node: the readiness check fails, responses close their connections, and idle connections are
-    /// closed, so that clients go elsewhere.
+    /// Drains the node: the readiness check fails, responses close their connections, and idle connections
+    /// are closed, so that clients go elsewhere.
     Drain,
     /// Ends a drain.
     Resume,
@@ -42,7 +42,8 @@
     Empty,
     /// No command has this name; holds the first [`MAX_SHOWN_CHARACTERS`] of it.
     #[error(
-        "unknown command {0:?}; the commands are ready, disable-server ID, enable-server ID, drain, resume and counters"
+        "unknown command {0:?}; the commands are \
+         ready, disable-server ID, enable-server ID, drain, resume and counters"
     )]
     Unknown(String),
     /// The named command needs the id of a server after it.
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -1,8 +1,8 @@
 //! Accepts admin connections and executes their commands.
 //!
-//! A command is executed only once its line is complete. Operators must be able to reach the node when clients
-//! use all other descriptors, so a number of descriptors is reserved for them. If all of these are in use, the
-//! oldest connection that has not yet sent a complete command is closed.
+//! A command is executed only once its line is complete. Operators must be able to reach the node when
+//! clients use all other descriptors, so a number of descriptors is reserved for them. If all of these are
+//! in use, the oldest connection that has not yet sent a complete command is closed.
 
 use super::command::{AdminCommand, CommandError, MAX_LENGTH};
 use crate::driver::Driver;
@@ -28,8 +28,9 @@
 /// Time in which a connection must send a complete command. After it, the connection gets an error and is
 /// closed.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time in which the answer must be taken. After the answer, the node also reads and discards what the operator
-/// still sends: closing a socket with unread input resets the connection, and the answer could be lost.
+/// Time in which the answer must be taken. After the answer, the node also reads and discards what the
+/// operator still sends: closing a socket with unread input resets the connection, and the answer could be
+/// lost.
 const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Why a command was not executed.
@@ -81,8 +82,8 @@
 }
 
 impl AdminServer {
-    /// Creates the interface without any connection; [`AdminServer::accept`] takes them. `takeover` is `None`
-    /// if the node does not hand over between processes.
+    /// Creates the interface without any connection; [`AdminServer::accept`] takes them. `takeover` is
+    /// `None` if the node does not hand over between processes.
     pub fn new(
         driver: Rc<Driver>,
         frontend: Rc<Frontend>,
@@ -159,11 +160,13 @@
             Ok(text) => format!("done {text}\n"),
             Err(error) => format!("error {error}\n"),
         };
-        // There is nobody to report an error to: an operator that does not take the answer has disconnected.
+        // There is nobody to report an error to: an operator that does not take the answer has
+        // disconnected.
         let _ = tokio::time::timeout(LINGERING_CLOSE_TIMEOUT, write_answer(stream, &answer)).await;
     }
 
-    /// Executes a command. Commands that can change something are logged with their answer, the others are not.
+    /// Executes a command. Commands that can change something are logged with their answer, the others are
+    /// not.
     async fn execute(&self, command: AdminCommand<'_>) -> Result<Cow<'static, str>, AdminError> {
         let answer = match command {
             AdminCommand::Ready if self.frontend.ready().is_ok() => return Ok("takes clients".into()),
@@ -191,8 +194,8 @@
         Ok(if has_changed { "in service again, cold" } else { "was not out of service" })
     }
 
-    /// Returns whether the command changed anything. If the node hands over between processes, the change is
-    /// stored durably before this returns.
+    /// Returns whether the command changed anything. If the node hands over between processes, the change
+    /// is stored durably before this returns.
     async fn set_disabled(&self, id: &str, disable: bool) -> Result<bool, AdminError> {
         let endpoint = self.driver.find_endpoint(id).ok_or(AdminError::UnknownEndpoint)?;
         match &self.takeover {
@@ -216,8 +219,8 @@
     }
 }
 
-/// Appends the first line that is received to `line`, without its line break. Discards what was received after
-/// it.
+/// Appends the first line that is received to `line`, without its line break. Discards what was received
+/// after it.
 async fn read_line(stream: &mut Socket, line: &mut Vec<u8>) -> Result<(), CommandError> {
     let mut buffer = [0; MAX_LENGTH];
     loop {
--- a/src/node/observability/counters.rs
+++ b/src/node/observability/counters.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// An action or event that an invariant of the node forbids. The node does not carry out a forbidden attempt or
-/// rejection; the other violations can only be reported.
+/// An action or event that an invariant of the node forbids. The node does not carry out a forbidden
+/// attempt or rejection; the other violations can only be reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// An attempt for a request that has been answered or whose client has disconnected.
--- a/src/node/observability/invariants.rs
+++ b/src/node/observability/invariants.rs
@@ -1,13 +1,14 @@
 //! Checks every attempt and every rejection against the node's invariants before it is carried out.
 //!
-//! The balancer follows the same rules on its own. This check repeats them independently, using only what the
-//! node itself has observed, so that a bug on either side becomes visible as a violation and does no harm.
+//! The balancer follows the same rules on its own. This check repeats them independently, using only what
+//! the node itself has observed, so that a bug on either side becomes visible as a violation and does no
+//! harm.
 
 use super::counters::Violation;
 use wheelpath::policy::{AttemptOutcome, Idempotency, Location, RequestClass, Settings};
 
-/// Tolerance for deadlines and deduplication windows, in milliseconds. The balancer and this check do not read
-/// the clock at the same instant; the two readings are at most this far apart.
+/// Tolerance for deadlines and deduplication windows, in milliseconds. The balancer and this check do not
+/// read the clock at the same instant; the two readings are at most this far apart.
 const CLOCK_READ_SLACK_MS: f64 = 1.0;
 
 /// What the node has observed of one attempt.
@@ -104,9 +105,9 @@
         attempts.len() < self.max_attempts && (self.hedging_allowed || !is_any_in_flight)
     }
 
-    /// Whether one more attempt cannot execute the request a second time, or a second execution does no harm.
-    /// With an idempotency key, that holds where the endpoint shares the key with the endpoint of the first
-    /// attempt that may have run, and only within the deduplication window.
+    /// Whether one more attempt cannot execute the request a second time, or a second execution does no
+    /// harm. With an idempotency key, that holds where the endpoint shares the key with the endpoint of the
+    /// first attempt that may have run, and only within the deduplication window.
     fn may_repeat(&self, now_ms: f64, request: &RequestFacts<'_>, location: Location) -> bool {
         let Some(first) = request.attempts.iter().find(|attempt| !attempt.was_not_executed()) else {
             return true;
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Checks whether a request may be rejected. A rejection tells the client that it may retry elsewhere at any
-    /// time without harm.
+    /// Checks whether a request may be rejected. A rejection tells the client that it may retry elsewhere
+    /// at any time without harm.
     ///
     /// # Errors
     /// The invariant that the rejection would violate.
--- a/src/node/observability/log.rs
+++ b/src/node/observability/log.rs
@@ -1,12 +1,12 @@
 //! Writes log lines to standard error, at a bounded rate.
 //!
-//! The event loop waits while a line is written, so lines must be few. There are lines about the node, and one
-//! line for each request that was not simply served by its first attempt; that line is the request's trace.
-//! Each of the two kinds has a limit per second. `LB_TRACE=all` logs the trace of every request, up to a higher
-//! limit.
+//! The event loop waits while a line is written, so lines must be few. There are lines about the node, and
+//! one line for each request that was not simply served by its first attempt; that line is the request's
+//! trace. Each of the two kinds has a limit per second. `LB_TRACE=all` logs the trace of every request, up
+//! to a higher limit.
 //!
-//! A reader that does not read the log must neither stop nor delay the node. A line that cannot be written at
-//! once is therefore dropped and counted.
+//! A reader that does not read the log must neither stop nor delay the node. A line that cannot be written
+//! at once is therefore dropped and counted.
 
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 use std::cell::{Cell, OnceCell};
@@ -41,8 +41,8 @@
 }
 
 impl LineBudget {
-    /// Asks for one more line. Returns how many lines were suppressed since the previous allowed one, or `None`
-    /// if the limit of `max_lines` per second is used up.
+    /// Asks for one more line. Returns how many lines were suppressed since the previous allowed one, or
+    /// `None` if the limit of `max_lines` per second is used up.
     fn take(cell: &'static std::thread::LocalKey<Cell<LineBudget>>, max_lines: u32) -> Option<u32> {
         let mut budget = cell.get();
         let now = Instant::now();
@@ -103,8 +103,8 @@
     /// Setting that mode on standard error itself would change it for every process that shares standard
     /// error.
     Pipe(File),
-    /// Standard error itself, in blocking mode: it is not a pipe, or the pipe cannot be opened again. Other
-    /// processes may write to it, too.
+    /// Standard error itself, because it is not a pipe or the pipe cannot be opened again. Its mode is left
+    /// as it is, since other processes may write to it, too.
     Shared,
 }
 
@@ -145,8 +145,8 @@
         .with(|all| *all.get_or_init(|| std::env::var(TRACE_VARIABLE).is_ok_and(|value| value == "all")))
 }
 
-/// Writes the trace of a request, unless the limit per second is used up. `text` is called only if the trace is
-/// written.
+/// Writes the trace of a request, unless the limit per second is used up. `text` is called only if the
+/// trace is written.
 pub fn request(text: impl FnOnce() -> String) {
     let max_lines = if traces_all_requests() { ALL_TRACES_PER_SECOND } else { TRACES_PER_SECOND };
     if let Some(suppressed) = LineBudget::take(&REQUEST_LINES, max_lines) {
--- a/src/node/observability/mod.rs
+++ b/src/node/observability/mod.rs
@@ -1,4 +1,5 @@
-//! Makes the node's behavior visible: log lines, counters, traces of requests, and checks of the invariants.
+//! Makes the node's behavior visible: log lines, counters, traces of requests, and checks of the
+//! invariants.
 
 pub mod counters;
 pub mod invariants;
--- a/src/node/observability/request_trace.rs
+++ b/src/node/observability/request_trace.rs
@@ -39,18 +39,19 @@
     }
 }
 
-/// Why an attempt that the balancer ordered did not begin. The node checks again right before the first byte is
-/// sent, because connecting takes time in which the request or the endpoint may change.
+/// Why an attempt that the balancer ordered did not begin. The node checks again right before the first
+/// byte is sent, because connecting takes time in which the request or the endpoint may change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithheldReason {
     /// The request ended in the meantime.
     RequestOver,
     /// The endpoint was taken out of service in the meantime.
     EndpointWithdrawn,
-    /// The deduplication window of an earlier attempt may have ended, so the endpoint might execute the request
-    /// a second time.
+    /// The deduplication window of an earlier attempt may have ended, so the endpoint might execute the
+    /// request a second time.
     RepeatTooLate,
-    /// An earlier attempt has sent part of the request body, which was not buffered and cannot be sent again.
+    /// An earlier attempt has sent part of the request body, which was not buffered and cannot be sent
+    /// again.
     BodySpent,
 }
 
@@ -92,8 +93,8 @@
 }
 
 impl RequestTrace {
-    /// Starts the trace of a request that arrives now. `id` is the trace id from the client's headers, if there
-    /// is one.
+    /// Starts the trace of a request that arrives now. `id` is the trace id from the client's headers, if
+    /// there is one.
     pub fn new(id: Option<HeaderValue>) -> RequestTrace {
         RequestTrace { id, arrived_at: Instant::now(), steps: Vec::new() }
     }
@@ -130,8 +131,8 @@
         self.record(TraceEvent::Answered(ending));
     }
 
-    /// Whether the request was served by its first attempt, and nothing else happened: the three steps are the
-    /// attempt, its end and the answer.
+    /// Whether the request was served by its first attempt, and nothing else happened: the three steps are
+    /// the attempt, its end and the answer.
     pub fn was_served_by_first_attempt(&self) -> bool {
         let is_served =
             |step: &TraceStep| matches!(step.event, TraceEvent::Answered(RequestEnding::Served));
--- a/src/node/snapshot/state_file.rs
+++ b/src/node/snapshot/state_file.rs
@@ -1,8 +1,8 @@
 //! Reads and writes a small file that survives a crash of the process.
 //!
-//! Writes and syncs may fail, and a kill may interrupt a write halfway. New content is therefore written to a
-//! draft file, which then replaces the file by an atomic rename. A checksum distinguishes a complete file from
-//! a truncated or corrupted one, and a last good copy is kept in the same folder.
+//! Writes and syncs may fail, and a kill may interrupt a write halfway. New content is therefore written to
+//! a draft file, which then replaces the file by an atomic rename. A checksum distinguishes a complete file
+//! from a truncated or corrupted one, and a last good copy is kept in the same folder.
 
 use super::process_id::ProcessId;
 use std::fs::File;
@@ -10,8 +10,8 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The first word of the first line, which is `MAGIC VERSION CHECKSUM`. The checksum is the CRC-32 of all that
-/// follows the first line, as 8 hexadecimal digits.
+/// The first word of the first line, which is `MAGIC VERSION CHECKSUM`. The checksum is the CRC-32 of all
+/// that follows the first line, as 8 hexadecimal digits.
 const MAGIC: &str = "node-state";
 /// The version of the file format, the second word of the first line.
 const VERSION: &str = "2";
@@ -58,8 +58,8 @@
 }
 
 impl StateFile {
-    /// Refers to the file `name` in `folder` without reading or writing anything. `owner` is the process that
-    /// writes through this value; it is part of the names of the drafts.
+    /// Refers to the file `name` in `folder` without reading or writing anything. `owner` is the process
+    /// that writes through this value; it is part of the names of the drafts.
     pub fn new(folder: &Path, name: &'static str, owner: ProcessId) -> StateFile {
         StateFile { folder: folder.to_owned(), name, owner }
     }
@@ -81,8 +81,8 @@
     /// `None` if neither exists.
     ///
     /// # Errors
-    /// The file cannot be read, and there is no readable last good copy; or the file is missing, and the last
-    /// good copy cannot be read.
+    /// The file cannot be read, and there is no readable last good copy; or the file is missing, and the
+    /// last good copy cannot be read.
     pub fn read(&self) -> Result<Option<String>, ReadError> {
         match read_checked(&self.path()) {
             Ok(Some(body)) => Ok(Some(body)),
@@ -102,8 +102,8 @@
         std::fs::read_to_string(self.path()).ok().filter(|text| text.starts_with('{'))
     }
 
-    /// Replaces the file. If a step before the replacement fails, [`StateFile::read`] still returns the previous
-    /// body; if only the sync of the folder fails, it returns the new one.
+    /// Replaces the file. If a step before the replacement fails, [`StateFile::read`] still returns the
+    /// previous body; if only the sync of the folder fails, it returns the new one.
     ///
     /// With [`Durability::Synced`], the last good copy gets the new body as well. With
     /// [`Durability::Visible`], the previous file becomes the last good copy.
@@ -162,7 +162,8 @@
         let writer = name.strip_prefix(self.name)?.strip_prefix('.')?;
         let (pid, start_ticks) = match writer.strip_suffix(DRAFT_SUFFIX) {
             Some(writer) => writer.strip_suffix('.')?.split_once('-')?,
-            // Earlier versions named a draft `NAME.PID`.
+            // Earlier versions named a draft `NAME.PID`. Without a start time, it counts as that of a process
+            // that has ended.
             None => (writer, "0"),
         };
         Some(ProcessId { pid: pid.parse().ok()?, start_ticks: start_ticks.parse().ok()? })
@@ -179,8 +180,8 @@
     }
 }
 
-/// Reads a file and verifies its checksum; the body is what follows the first line. Returns `None` if there is
-/// no file.
+/// Reads a file and verifies its checksum; the body is what follows the first line. Returns `None` if there
+/// is no file.
 fn read_checked(path: &Path) -> Result<Option<String>, ReadError> {
     let length = match std::fs::metadata(path) {
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
@@ -203,8 +204,8 @@
     Ok(Some(body.to_owned()))
 }
 
-/// The checksum that the first line states. Returns `None` if it is not the first line of a file of this format
-/// version.
+/// The checksum that the first line states. Returns `None` if it is not the first line of a file of this
+/// format version.
 fn parse_first_line(first_line: &str) -> Option<u32> {
     let version_and_checksum = first_line.strip_prefix(MAGIC)?.trim_start();
     let checksum = version_and_checksum.strip_prefix(VERSION)?.trim_start();
--- a/src/node/snapshot/store.rs
+++ b/src/node/snapshot/store.rs
@@ -1,11 +1,12 @@
 //! Defines the two files that one process leaves to the next, and reads and writes them.
 //!
-//! `node-calls.json` contains the operators' overrides: the endpoints that are out of service. An override must
-//! hold from the moment that its command is answered, so it is synced to disk before the answer.
+//! `node-calls.json` contains the operators' overrides: the endpoints that are out of service. An override
+//! must hold from the moment that its command is answered, so it is synced to disk before the answer.
 //! `node-state.json` contains the identity of the serving process and what that process has learned about
 //! endpoints. It is written periodically, and a new process can start without it.
 //!
-//! The names of the JSON keys must not change, since processes of different versions read each other's files.
+//! The names of the JSON keys must not change, since processes of different versions read each other's
+//! files.
 
 use super::process_id::ProcessId;
 use super::state_file::{Durability, ReadError, StateFile};
@@ -76,9 +77,9 @@
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// What a process has learned about an endpoint. Times are stored as durations: each process has a monotonic
-/// clock of its own, and the wall clock may be stepped, so neither can express a point in time that the next
-/// process could use.
+/// What a process has learned about an endpoint. Times are stored as durations: each process has a
+/// monotonic clock of its own, and the wall clock may be stepped, so neither can express a point in time
+/// that the next process could use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRecord {
     id: u64,
@@ -94,7 +95,8 @@
 }
 
 impl EndpointRecord {
-    /// Converts a snapshot that was taken at `now_ms`, in milliseconds on the monotonic clock of this process.
+    /// Converts a snapshot that was taken at `now_ms`, in milliseconds on the monotonic clock of this
+    /// process.
     pub fn new(snapshot: &EndpointSnapshot, now_ms: f64) -> EndpointRecord {
         EndpointRecord {
             id: snapshot.endpoint.0,
@@ -105,9 +107,9 @@
         }
     }
 
-    /// Converts the record back to a snapshot, as if it had been written at `now_ms`, in milliseconds on the
-    /// monotonic clock of this process. The time since it was really written is unknown. Counting it as zero
-    /// is safe: it can only prolong a slow start or postpone a trial.
+    /// Converts the record back to a snapshot, as if it had been written at `now_ms`, in milliseconds on
+    /// the monotonic clock of this process. The time since it was really written is unknown. Counting it as
+    /// zero is safe: it can only prolong a slow start or postpone a trial.
     pub fn to_snapshot(&self, now_ms: f64) -> EndpointSnapshot {
         EndpointSnapshot {
             endpoint: EndpointId(self.id),
@@ -128,8 +130,8 @@
     pub process: ProcessRecord,
 }
 
-/// `node-state.json` of format version 1, which contained the overrides as well. Its record of the endpoints is
-/// not read, because its times are wall clock times.
+/// `node-state.json` of format version 1, which contained the overrides as well. Its record of the
+/// endpoints is not read, because its times are wall clock times.
 #[derive(Debug, Deserialize)]
 struct Version1File {
     version: u64,
@@ -167,8 +169,8 @@
 }
 
 impl SnapshotStore {
-    /// Refers to the files in `folder` without reading or writing anything. `owner` is the process that writes
-    /// through this store.
+    /// Refers to the files in `folder` without reading or writing anything. `owner` is the process that
+    /// writes through this store.
     pub fn new(folder: &Path, owner: ProcessId) -> SnapshotStore {
         SnapshotStore {
             overrides_file: StateFile::new(folder, OVERRIDES_FILE, owner),
@@ -234,7 +236,8 @@
     }
 }
 
-/// Serializes one of the records. This cannot fail: a record consists of numbers, lists and string keys only.
+/// Serializes one of the records. This cannot fail: a record consists of numbers, lists and string keys
+/// only.
 fn to_json(value: &impl Serialize) -> String {
     serde_json::to_string(value).unwrap_or_default()
 }
--- a/src/node/snapshot/takeover.rs
+++ b/src/node/snapshot/takeover.rs
@@ -1,5 +1,5 @@
-//! Takes over the state of the previous process at startup, and keeps the overrides of two processes that run
-//! at the same time in agreement.
+//! Takes over the state of the previous process at startup, and keeps the overrides of two processes that
+//! run at the same time in agreement.
 //!
 //! While the old and the new process both run, operators may send commands to either. Each command that
 //! changes which endpoints are out of service increments the revision of the overrides in the file. Each
@@ -50,8 +50,8 @@
     own_process: ProcessId,
     /// The revision of the overrides that this process applies.
     override_revision: Cell<u64>,
-    /// The version of the endpoint list that this process has from discovery; shared with the discovery watch,
-    /// which sets it.
+    /// The version of the endpoint list that this process has from discovery; shared with the discovery
+    /// watch, which sets it.
     list_version: Rc<Cell<Option<u64>>>,
     /// The process whose record this one found at startup.
     predecessor: Cell<Option<ProcessId>>,
@@ -79,9 +79,9 @@
         })
     }
 
-    /// Restores the state that the previous process left, and writes a process record that names this process
-    /// as the serving one. Returns true if the previous process had a newer endpoint list than this one has
-    /// been started with.
+    /// Restores the state that the previous process left, and writes a process record that names this
+    /// process as the serving one. Returns true if the previous process had a newer endpoint list than this
+    /// one has been started with.
     pub fn take_over(&self, driver: &Rc<Driver>) -> bool {
         let (overrides, process) = match self.store.read_version_1() {
             Some(Version1Records { overrides, process }) => (Ok(Some(overrides)), Ok(Some(process))),
@@ -104,7 +104,7 @@
             }
             Err(error) => {
                 log::line(&format!(
-                    "handover: the state of the earlier process cannot be used, starting without it: {error}"
+                    "handover: the earlier process's state cannot be used, starting without it: {error}"
                 ));
                 false
             }
@@ -151,19 +151,20 @@
         }
     }
 
-    /// Writes the process record, unless a successor has taken over: the record must then name the successor.
+    /// Writes the process record, unless a successor has taken over: the record must then name the
+    /// successor.
     fn write_process_record_if_serving(&self, driver: &Driver) {
         if !self.has_successor() {
             self.write_process_record(driver);
         }
     }
 
-    /// Takes an endpoint out of service or puts it back. The change is durable when this returns `Ok`; the value
-    /// is true if the endpoint was not in that state already.
+    /// Takes an endpoint out of service or puts it back. The change is durable when this returns `Ok`; the
+    /// value is true if the endpoint was not in that state already.
     ///
     /// # Errors
-    /// Until the timeout, another process held the lock or the change could not be written. The overrides of
-    /// this process are unchanged, apart from newer ones of another process that it has adopted.
+    /// Until the timeout, another process held the lock or the change could not be written. The overrides
+    /// of this process are unchanged, apart from newer ones of another process that it has adopted.
     pub async fn set_disabled(
         &self,
         driver: &Rc<Driver>,
@@ -203,8 +204,8 @@
             } else {
                 DriverEvent::Enable(endpoint)
             });
-            // An endpoint that was enabled is in slow start from now on. The next process needs to know that
-            // even if it starts before the next periodic write.
+            // An endpoint that was enabled is in slow start from now on. The next process needs to know
+            // that even if it starts before the next periodic write.
             self.write_process_record_if_serving(driver);
         }
         Ok(has_changed)
@@ -229,8 +230,8 @@
             .is_ok_and(|stored| stored.is_some_and(|stored| stored.revision == revision));
         if is_visible {
             self.override_revision.set(revision + 1);
-            // If this write fails as well, `sync_overrides` repeats it: the revision in the file is then lower
-            // than that of this process.
+            // If this write fails as well, `sync_overrides` repeats it: the revision in the file is then
+            // lower than that of this process.
             let _ = self.write_overrides(revision + 1, current, Durability::Visible);
         }
         written
@@ -264,8 +265,8 @@
         ));
     }
 
-    /// Compares the overrides of this process with those in the file; the higher revision replaces the lower
-    /// one.
+    /// Compares the overrides of this process with those in the file; the higher revision replaces the
+    /// lower one.
     fn sync_overrides(&self, driver: &Rc<Driver>) {
         if self.stored_overrides().revision == self.override_revision.get() {
             return;
@@ -277,7 +278,8 @@
         if stored.revision > revision {
             self.adopt_overrides(&stored, driver);
         } else if stored.revision < revision {
-            // The file no longer has overrides that were acknowledged to operators, so they are written again.
+            // The file no longer has overrides that were acknowledged to operators, so they are written
+            // again.
             if let Err(error) = self.write_overrides(revision, &driver.disabled(), Durability::Synced) {
                 log::line(&format!("handover: cannot write the operators' overrides: {error}"));
             }
@@ -289,7 +291,8 @@
         self.serving_process().is_some_and(|process| self.is_successor(process))
     }
 
-    /// The process that the process record names. Returns `None` if the record is missing or cannot be read.
+    /// The process that the process record names. Returns `None` if the record is missing or cannot be
+    /// read.
     fn serving_process(&self) -> Option<ProcessId> {
         self.store.read_process().ok().flatten().map(|record| record.process)
     }
--- a/src/node/system/acceptor.rs
+++ b/src/node/system/acceptor.rs
@@ -1,5 +1,5 @@
-//! Accepts connections from a listening socket, classifies the errors of accept, and limits the rate of retries
-//! after them.
+//! Accepts connections from a listening socket, classifies the errors of accept, and limits the rate of
+//! retries after them.
 
 use super::descriptors::Descriptors;
 use super::syscall_errors::is_interrupted;
@@ -17,7 +17,8 @@
 /// Pause before the next accept if the process or the system lacks a resource.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
-/// Accepts connections from one listening socket, and tracks how long they can have waited in its accept queue.
+/// Accepts connections from one listening socket, and tracks how long they can have waited in its accept
+/// queue.
 pub struct Acceptor {
     listener: TcpListener,
     consecutive_failures: Cell<u32>,
@@ -25,8 +26,8 @@
     has_accepted: Cell<bool>,
     /// Whether the accept queue has been found empty since the last connection was accepted.
     was_empty: Cell<bool>,
-    /// Since when the accept queue may have been non-empty; `None` if connections may have waited since before
-    /// this process started.
+    /// Since when the accept queue may have been non-empty; `None` if connections may have waited since
+    /// before this process started.
     filled_since: Cell<Option<Instant>>,
 }
 
@@ -89,8 +90,8 @@
         poll_fn(|cx| {
             let accepted = self.listener.poll_accept(cx);
             match &accepted {
-                // Before the first connection, this result does not prove an empty queue: the poller may not
-                // have asked the system yet.
+                // Before the first connection, this result does not prove an empty queue: the poller may
+                // not have asked the system yet.
                 Poll::Pending => self.was_empty.set(self.has_accepted.get()),
                 Poll::Ready(_) if self.was_empty.take() => self.filled_since.set(Some(Instant::now())),
                 Poll::Ready(_) => {}
@@ -122,9 +123,9 @@
         }
     }
 
-    /// Waits after a failed accept until the next one is worthwhile, so that failing accepts do not keep the
-    /// event loop busy. If this process is out of descriptors, an idle connection is closed, too; with other
-    /// errors that would not help.
+    /// Waits after a failed accept until the next one is worthwhile, so that failing accepts do not keep
+    /// the event loop busy. If this process is out of descriptors, an idle connection is closed, too; with
+    /// other errors that would not help.
     pub async fn recover(&self, error: &AcceptError, descriptors: &Descriptors) {
         if matches!(error, AcceptError::OutOfDescriptors) {
             descriptors.reclaim();
--- a/src/node/system/clock.rs
+++ b/src/node/system/clock.rs
@@ -1,18 +1,18 @@
 //! The balancer's clock, which is monotonic, and the conversion of wall clock times to it.
 //!
-//! Other machines state times by the wall clock, for example when an endpoint started. The node needs to know how
-//! long ago that was, but the wall clock may have been stepped since, forward or back. The node therefore keeps a
-//! history of the offset between the two clocks. A wall clock time is converted with the offset that applied
-//! when the wall clock showed that time.
+//! Other machines state times by the wall clock, for example when an endpoint started. The node needs to
+//! know how long ago that was, but the wall clock may have been stepped since, forward or back. The node
+//! therefore keeps a history of the offset between the two clocks. A wall clock time is converted with the
+//! offset that applied when the wall clock showed that time.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Smallest change of the offset that counts as a step of the wall clock. Smaller changes are drift, or the time
-/// that passes between reading the two clocks.
+/// Smallest change of the offset that counts as a step of the wall clock. Smaller changes are drift, or the
+/// time that passes between reading the two clocks.
 const MIN_STEP_MS: f64 = 100.0;
-/// Longest time in which both clocks must have been read. The process may be suspended between the two readings,
-/// which would look like a step, so a slower reading is discarded and repeated.
+/// Longest time in which both clocks must have been read. The process may be suspended between the two
+/// readings, which would look like a step, so a slower reading is discarded and repeated.
 const MAX_READ_TIME: Duration = Duration::from_millis(5);
 /// How often a slow reading of both clocks is repeated before it is given up.
 const READ_ATTEMPTS: u32 = 4;
@@ -30,8 +30,8 @@
 struct OffsetPeriod {
     /// Wall clock minus monotonic clock, in milliseconds.
     offset_ms: f64,
-    /// Begin of the period, on the monotonic clock: the last reading before the step. Minus infinity for the
-    /// first period.
+    /// Begin of the period, on the monotonic clock: the last reading before the step. Minus infinity for
+    /// the first period.
     from_ms: f64,
     /// The last reading of the period, on the monotonic clock.
     until_ms: f64,
@@ -39,8 +39,8 @@
 
 /// The history of the offset between the wall clock and the monotonic clock.
 ///
-/// A step is noticed only at the next reading, so it is not known when it came between two readings. The new
-/// period therefore begins at the last reading before the step.
+/// A step is noticed only at the next reading, so it is not known when it came between two readings. The
+/// new period therefore begins at the last reading before the step.
 #[derive(Debug, Default)]
 struct WallClockHistory {
     periods: Vec<OffsetPeriod>,
@@ -67,7 +67,8 @@
     }
 
     /// When the wall clock showed `wall_ms`, on the monotonic clock. If it showed that time more than once,
-    /// because it was stepped back, the last occurrence counts. Returns `None` if it never showed that time.
+    /// because it was stepped back, the last occurrence counts. Returns `None` if it never showed that
+    /// time.
     fn find(&self, wall_ms: f64) -> Option<f64> {
         let occurrences = self.periods.iter().filter_map(|period| {
             let at_ms = wall_ms - period.offset_ms;
@@ -112,7 +113,8 @@
         self.start + Duration::from_secs_f64(((at_ms - self.start_ms) / 1000.0).clamp(0.0, 1e9))
     }
 
-    /// Reads both clocks to notice a step of the wall clock. Called periodically, and before each conversion.
+    /// Reads both clocks to notice a step of the wall clock. Called periodically, and before each
+    /// conversion.
     pub fn observe_wall(&self) {
         for _ in 0..READ_ATTEMPTS {
             let before = Instant::now();
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Converts a wall clock time, in milliseconds since 1970, to this clock. Returns the current time if the
-    /// wall clock of this machine has never shown that time, or if it lies in the future.
+    /// Converts a wall clock time, in milliseconds since 1970, to this clock. Returns the current time if
+    /// the wall clock of this machine has never shown that time, or if it lies in the future.
     pub fn wall_to_monotonic(&self, wall_ms: f64) -> f64 {
         self.observe_wall();
         let now_ms = self.now_ms();
--- a/src/node/system/connect.rs
+++ b/src/node/system/connect.rs
@@ -21,8 +21,8 @@
     TimedOut,
 }
 
-/// Connects to `address`, at the latest by `deadline`. Transient local failures are retried until then; a lack
-/// of descriptors is reported at once.
+/// Connects to `address`, at the latest by `deadline`. Transient local failures are retried until then; a
+/// lack of descriptors is reported at once.
 ///
 /// # Errors
 /// No connection was established; the error says on which side the failure was.
--- a/src/node/system/descriptors.rs
+++ b/src/node/system/descriptors.rs
@@ -1,8 +1,8 @@
 //! Limits how many file descriptors the sockets of this process use.
 //!
-//! Sockets to clients, endpoints and discovery share one limit of the process, and idle clients alone could use
-//! it up. Every socket therefore needs a permit. If no permit is left, an idle connection is closed to free one.
-//! Some permits are kept from clients, and calls of the node itself do not wait for a permit.
+//! Sockets to clients, endpoints and discovery share one limit of the process, and idle clients alone could
+//! use it up. Every socket therefore needs a permit. If no permit is left, an idle connection is closed to
+//! free one. Some permits are kept from clients, and calls of the node itself do not wait for a permit.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,15 +10,15 @@
 use tokio::sync::Notify;
 
 /// Descriptors set aside for everything that has no permit or does not wait for one: standard streams, the
-/// poller, the listening socket, UDP, discovery, a reload of the configuration, and a connection that was just
-/// accepted.
+/// poller, the listening socket, UDP, discovery, a reload of the configuration, and a connection that was
+/// just accepted.
 const RESERVED_DESCRIPTORS: usize = 24;
 /// Minimum number of permits, however low the limit of the process is.
 const MIN_PERMITS: usize = 8;
 /// One part in this many of the permits is kept from clients.
 const KEPT_FROM_CLIENTS_DIVISOR: usize = 3;
-/// How often a wait for a permit tries again to close an idle connection: one that was about to close may have
-/// become busy instead.
+/// How often a wait for a permit tries again to close an idle connection: one that was about to close may
+/// have become busy instead.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Closes an idle connection. Returns true if that freed a descriptor at once, false if there is no idle
@@ -81,8 +81,8 @@
         self.endpoint_connection_reclaim.borrow().as_ref().is_some_and(|reclaim| reclaim())
     }
 
-    /// Closes an idle connection to an endpoint or, if there is none, to a client. Also of use when permits are
-    /// left but the system has run out of descriptors. Returns true if a descriptor was freed at once.
+    /// Closes an idle connection to an endpoint or, if there is none, to a client. Also of use when permits
+    /// are left but the system has run out of descriptors. Returns true if a descriptor was freed at once.
     pub fn reclaim(&self) -> bool {
         self.reclaim_endpoint_connection() || self.reclaim_client()
     }
--- a/src/node/system/inherited_listener.rs
+++ b/src/node/system/inherited_listener.rs
@@ -1,4 +1,5 @@
-//! Takes over a listening socket for clients that the platform opened and every process of the node inherits.
+//! Takes over a listening socket for clients that the platform opened and every process of the node
+//! inherits.
 
 use socket2::Socket;
 use std::net::TcpListener;
@@ -29,8 +30,8 @@
 
 /// Takes over the listening socket that the environment names. Returns `None` if it names none.
 ///
-/// Must be called only once, and before this process opens any descriptor: only then are all open descriptors
-/// inherited ones.
+/// Must be called only once, and before this process opens any descriptor: only then are all open
+/// descriptors inherited ones.
 ///
 /// # Errors
 /// The environment names a descriptor that is not a usable listening socket.
@@ -52,8 +53,8 @@
 #[allow(unsafe_code)]
 fn take_descriptor(fd: RawFd) -> Option<OwnedFd> {
     std::fs::symlink_metadata(format!("/proc/self/fd/{fd}")).ok()?;
-    // SAFETY: the check above shows that the descriptor is open. It was inherited: `take` is called once, before
-    // this process opens any descriptor, so nothing else in the process owns it. The standard streams, which the
-    // standard library uses, are excluded.
+    // SAFETY: the check above shows that the descriptor is open. It was inherited: `take` is called once,
+    // before this process opens any descriptor, so nothing else in the process owns it. The standard
+    // streams, which the standard library uses, are excluded.
     Some(unsafe { OwnedFd::from_raw_fd(fd) })
 }
--- a/src/node/system/length_headers.rs
+++ b/src/node/system/length_headers.rs
@@ -1,8 +1,8 @@
 //! Counts the Content-Length lines in request heads, to detect request smuggling.
 //!
-//! A request with both a Content-Length and a chunked body may be an attempt to smuggle a second request past
-//! the node. For a chunked request, hyper drops the Content-Length header, so that the node would not see it.
-//! The received bytes are therefore scanned for it.
+//! A request with both a Content-Length and a chunked body may be an attempt to smuggle a second request
+//! past the node. For a chunked request, hyper drops the Content-Length header, so that the node would not
+//! see it. The received bytes are therefore scanned for it.
 
 /// The start of a Content-Length line, in lower case.
 const CONTENT_LENGTH: &[u8] = b"content-length:";
--- a/src/node/system/mod.rs
+++ b/src/node/system/mod.rs
@@ -1,8 +1,8 @@
 //! Wraps the operating system: clocks, signals, sockets, file descriptors, and the errors of system calls.
 //!
-//! System calls may fail in all the ways that Linux documents. Most of these failures are transient and local
-//! to this machine, and must not be blamed on a client or an endpoint. [`syscall_errors`] classifies them, and
-//! the other modules here act on that classification.
+//! System calls may fail in all the ways that Linux documents. Most of these failures are transient and
+//! local to this machine, and must not be blamed on a client or an endpoint. [`syscall_errors`] classifies
+//! them, and the other modules here act on that classification.
 
 pub mod acceptor;
 pub mod clock;
--- a/src/node/system/receive_timestamp.rs
+++ b/src/node/system/receive_timestamp.rs
@@ -1,13 +1,14 @@
-//! Determines when the first bytes of a connection arrived at this machine, by the kernel's receive timestamps.
+//! Determines when the first bytes of a connection arrived at this machine, by the kernel's receive
+//! timestamps.
 //!
 //! A connection may wait in the accept queue of the listening socket: while this process is short of
-//! descriptors, or since before this process started, if the platform holds the listening socket. The client's
-//! deadline counts from when it sent the request, so this wait has to be subtracted.
+//! descriptors, or since before this process started, if the platform holds the listening socket. The
+//! client's deadline counts from when it sent the request, so this wait has to be subtracted.
 //!
-//! The kernel takes the timestamps from its wall clock. That clock may be stepped, and this process may be shown
-//! another one. The current time is therefore read from the same clock, as the timestamp of a datagram that this
-//! process sends to itself. In addition, a wait counts for no longer than the connection can have been in the
-//! accept queue.
+//! The kernel takes the timestamps from its wall clock. That clock may be stepped, and this process may be
+//! shown another one. The current time is therefore read from the same clock, as the timestamp of a
+//! datagram that this process sends to itself. In addition, a wait counts for no longer than the connection
+//! can have been in the accept queue.
 
 use super::syscall_errors::is_interrupted;
 use nix::sys::socket::{ControlMessageOwned, MsgFlags, recvmsg, setsockopt, sockopt};
@@ -30,9 +31,9 @@
     let _ = setsockopt(listener, sockopt::ReceiveTimestampns, &true);
 }
 
-/// When the oldest unread byte of a connection was received. Returns `None` if there is no unread byte, or if
-/// it was received less than `MIN_WAIT` ago. `max_wait` is how long the connection can have waited at most, if
-/// that is known.
+/// When the oldest unread byte of a connection was received. Returns `None` if there is no unread byte, or
+/// if it was received less than `MIN_WAIT` ago. `max_wait` is how long the connection can have waited at
+/// most, if that is known.
 pub fn first_byte_received_at(stream: &TcpStream, max_wait: Option<Duration>) -> Option<Instant> {
     if max_wait.is_some_and(|max_wait| max_wait < MIN_WAIT) {
         return None;
@@ -43,9 +44,9 @@
     if waited < MIN_WAIT { None } else { Instant::now().checked_sub(waited) }
 }
 
-/// The current time since 1970, by the clock that the kernel takes receive timestamps from. Falls back to the
-/// wall clock that this process is shown if no datagram can be sent or received; the two are nearly always the
-/// same.
+/// The current time since 1970, by the clock that the kernel takes receive timestamps from. Falls back to
+/// the wall clock that this process is shown if no datagram can be sent or received; the two are nearly
+/// always the same.
 fn kernel_now() -> Option<Duration> {
     let timestamp = (0..DATAGRAM_ATTEMPTS).find_map(|_| loopback_timestamp().ok().flatten());
     timestamp.or_else(|| SystemTime::now().duration_since(UNIX_EPOCH).ok())
@@ -65,8 +66,8 @@
     Ok(receive_timestamp(&socket, MsgFlags::empty()))
 }
 
-/// The kernel's receive timestamp of the oldest unread byte of a socket, since 1970. Returns `None` if there is
-/// no unread byte or no timestamp.
+/// The kernel's receive timestamp of the oldest unread byte of a socket, since 1970. Returns `None` if
+/// there is no unread byte or no timestamp.
 fn receive_timestamp(socket: &impl AsRawFd, flags: MsgFlags) -> Option<Duration> {
     let mut byte = [0];
     let mut parts = [IoSliceMut::new(&mut byte)];
--- a/src/node/system/retry.rs
+++ b/src/node/system/retry.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Makes a call until it succeeds, or until `may_retry` returns false for its error. Waits for `pause` before
-/// each retry.
+/// Makes a call until it succeeds, or until `may_retry` returns false for its error. Waits for `pause`
+/// before each retry.
 ///
 /// # Errors
 /// The last error of the call.
--- a/src/node/system/signals.rs
+++ b/src/node/system/signals.rs
@@ -1,7 +1,7 @@
 //! Delivers signals from their handler to the event loop.
 //!
-//! The handler sets a flag and writes a byte to a socket pair, which wakes the event loop. An interrupted call
-//! may lose the byte, so the flag is also checked periodically.
+//! The handler sets a flag and writes a byte to a socket pair, which wakes the event loop. An interrupted
+//! call may lose the byte, so the flag is also checked periodically.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::{flag, low_level};
--- a/src/node/system/socket.rs
+++ b/src/node/system/socket.rs
@@ -13,8 +13,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How many bytes of a streamed response the system may hold unsent. A client at the slowest rate allowed takes
-/// as many in two seconds.
+/// How many bytes of a streamed response the system may hold unsent. A client at the slowest rate allowed
+/// takes as many in two seconds.
 const MAX_UNSENT_BYTES: u32 = 128 * 1024;
 
 struct Inner {
@@ -36,8 +36,8 @@
 impl Socket {
     /// Wraps a connected stream.
     pub fn new(stream: TcpStream, permit: DescriptorPermit) -> Socket {
-        // Disables Nagle's algorithm, with which small responses wait for acknowledgements. If this fails, the
-        // socket still works.
+        // Disables Nagle's algorithm, with which small responses wait for acknowledgements. If this fails,
+        // the socket still works.
         let _ = stream.set_nodelay(true);
         Socket(Rc::new(Inner {
             stream,
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Reads and discards up to `max_bytes`, rounded up to a whole read, until the peer closes the connection
-    /// or an error occurs.
+    /// Reads and discards up to `max_bytes`, rounded up to a whole read, until the peer closes the
+    /// connection or an error occurs.
     pub async fn discard(&self, mut max_bytes: usize) {
         let mut discarded = [0; 4096];
         while max_bytes > 0 && self.0.stream.readable().await.is_ok() {
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Limits the unsent bytes in the system's send buffer, so that the progress of a slow client shows in how
-    /// much can be written. Without the limit, megabytes wait in that buffer, and nothing can be written for
-    /// many seconds although the client is reading.
+    /// Limits the unsent bytes in the system's send buffer, so that the progress of a slow client shows in
+    /// how much can be written. Without the limit, megabytes wait in that buffer, and nothing can be
+    /// written for many seconds although the client is reading.
     pub fn limit_unsent_bytes(&self) {
         // If this fails, a slow client is harder to distinguish from a stalled one.
         let _ = socket2::SockRef::from(&self.0.stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES);
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Whether the socket has no unread bytes and the peer has neither closed nor reset the connection. Asks the
-    /// system, because the poller may not have reported the latest state yet.
+    /// Whether the socket has no unread bytes and the peer has neither closed nor reset the connection.
+    /// Asks the system, because the poller may not have reported the latest state yet.
     pub fn is_quiet(&self) -> bool {
         let mut byte = [std::mem::MaybeUninit::uninit()];
         loop {
@@ -139,7 +139,8 @@
     }
 }
 
-/// Has the task polled again, because the system lacks buffers for the moment while the connection is intact.
+/// Has the task polled again, because the system lacks buffers for the moment while the connection is
+/// intact.
 fn poll_again<T>(cx: &Context<'_>) -> Poll<T> {
     cx.waker().wake_by_ref();
     Poll::Pending
--- a/src/node/system/syscall_errors.rs
+++ b/src/node/system/syscall_errors.rs
@@ -30,8 +30,8 @@
     is_interrupted(error) || is_out_of_buffers(error) || is_out_of_resources
 }
 
-/// Makes a call that the process cannot start without. Retries it for up to 5 s while it fails with transient
-/// errors.
+/// Makes a call that the process cannot start without. Retries it for up to 5 s while it fails with
+/// transient errors.
 ///
 /// # Errors
 /// The call failed permanently, or still failed after that time.
--- a/tests/unit/invariants.rs
+++ b/tests/unit/invariants.rs
@@ -59,8 +59,9 @@
     );
 }
 
-/// A repeated attempt must not execute a request twice if that does harm. A request that certainly has not run
-/// may be sent anywhere; one that may have run only as far as its idempotency and deduplication window allow.
+/// A repeated attempt must not execute a request twice if that does harm. A request that certainly has not
+/// run may be sent anywhere; one that may have run only as far as its idempotency and deduplication window
+/// allow.
 #[test]
 fn an_attempt_is_repeated_only_as_far_as_the_class_allows() {
     let not_executed = [AttemptOutcome::ConnectFailed, AttemptOutcome::NotSent, AttemptOutcome::Rejected];
@@ -113,8 +114,8 @@
     }
 }
 
-/// A client may repeat a rejected request at another node at any time, so a request that may have run must not
-/// be rejected unless a second execution is harmless everywhere.
+/// A client may repeat a rejected request at another node at any time, so a request that may have run must
+/// not be rejected unless a second execution is harmless everywhere.
 #[test]
 fn a_request_is_rejected_only_if_a_retry_does_no_harm() {
     let reject = |idempotency, outcome| guard(idempotency).may_reject(&facts(&[attempt(outcome)]));
--- a/tests/unit/snapshot_store.rs
+++ b/tests/unit/snapshot_store.rs
@@ -11,8 +11,9 @@
     }
 }
 
-/// A parser that filled in defaults would take a record with a missing field for a complete one. Only "list" may
-/// be missing: it is optional. The largest endpoint id must survive, since ids are hashes that use all 64 bits.
+/// A parser that filled in defaults would take a record with a missing field for a complete one. Only
+/// "list" may be missing: it is optional. The largest endpoint id must survive, since ids are hashes that
+/// use all 64 bits.
 #[test]
 fn a_record_is_read_as_written_and_a_record_without_a_field_is_an_error() {
     let process = ProcessId { pid: 7, start_ticks: 12 };
@@ -51,8 +52,8 @@
     assert_eq!((overdue.started_at_ms, overdue.prat_ms), (None, Some(0.0)));
 }
 
-/// A node may be upgraded from a program that wrote version 1. Overrides must survive that; the wall clock times
-/// in the file must not be used. A file with a malformed id or another version is not read at all.
+/// A node may be upgraded from a program that wrote version 1. Overrides must survive that; the wall clock
+/// times in the file must not be used. A file with a malformed id or another version is not read at all.
 #[test]
 fn a_file_of_version_1_is_read_without_its_times() {
     let text = r#"{"version":1,"pid":5,"calls":2,"out":["00000000000000ff"],"list":3,
