--- a/src/node/snapshot/state_file.rs
+++ b/src/node/snapshot/state_file.rs
@@ -162,8 +162,8 @@
         let writer = name.strip_prefix(self.name)?.strip_prefix('.')?;
         let (pid, start_ticks) = match writer.strip_suffix(DRAFT_SUFFIX) {
             Some(writer) => writer.strip_suffix('.')?.split_once('-')?,
-            // Earlier versions named a draft `NAME.PID`. Without a start time, it counts as that of a process
-            // that has ended.
+            // Earlier versions named a draft `NAME.PID`. Without a start time, it counts as that of a
+            // process that has ended.
             None => (writer, "0"),
         };
         Some(ProcessId { pid: pid.parse().ok()?, start_ticks: start_ticks.parse().ok()? })
