--- a/src/node/driver/attempt.rs
+++ b/src/node/driver/attempt.rs
@@ -5,7 +5,7 @@
 use crate::observability::counters::CounterKind;
 use crate::observability::log;
 use crate::observability::request_trace::WithheldReason;
-use crate::system::clock::span;
+use crate::system::clock::clamped_duration;
 use crate::upstream::{Attempt, AttemptEnd, AttemptResult, UpstreamConnection};
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -77,10 +77,10 @@
         let (cancel, cancelled) = oneshot::channel();
         open.add_attempt(endpoint, target.location, now_ms, cancel);
         if let Err(violation) = allowed {
-            return core.counters.violation(violation, open.trace.id());
+            return core.counters.record_violation(violation, open.trace.id());
         }
         if !open.proxied.is_sendable() {
-            open.trace.withheld(WithheldReason::BodySpent);
+            open.trace.record_withheld(WithheldReason::BodySpent);
             return core.counters.count(CounterKind::Withheld, WithheldReason::BodySpent.name());
         }
         let Some(address) = core.endpoints.address(endpoint) else { return };
@@ -90,8 +90,8 @@
             endpoint,
             address,
             proxied: open.proxied.clone(),
-            until: begun_at + span(timeout_ms, MAX_SPAN_MS),
-            begin_by: begun_at + span(begin_within_ms, MAX_SPAN_MS),
+            until: begun_at + clamped_duration(timeout_ms, MAX_SPAN_MS),
+            begin_by: begun_at + clamped_duration(begin_within_ms, MAX_SPAN_MS),
             begun_at,
         };
         spawn_local(run_attempt(attempt, report, cancelled));
@@ -126,7 +126,7 @@
             Ok(())
         };
         if let Err(reason) = wanted {
-            open.trace.withheld(reason);
+            open.trace.record_withheld(reason);
             core.counters.count(CounterKind::Withheld, reason.name());
         }
         wanted
