--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -117,7 +117,7 @@
         match self.json.get(field) {
             None | Some(Value::Null) => Ok(None),
             Some(Value::String(text)) => Ok(Some(text.clone())),
-            Some(value) => Err(invalid(field, "a text", value)),
+            Some(value) => Err(invalid(field, "a string", value)),
         }
     }
 
@@ -146,7 +146,7 @@
                 Ok(u64::from_str_radix(text, 16).unwrap_or_else(|_| stable_hash(text)))
             }
             None => Err(ConfigError::Missing("seed")),
-            Some(value) => Err(invalid("seed", "a text", value)),
+            Some(value) => Err(invalid("seed", "a string", value)),
         }
     }
 
@@ -158,7 +158,7 @@
                 .enumerate()
                 .map(|(index, value)| parse_peer(&format!("peers[{index}]"), value))
                 .collect(),
-            Some(value) => Err(invalid("peers", "a list", value)),
+            Some(value) => Err(invalid("peers", "an array", value)),
         }
     }
 }
@@ -166,7 +166,7 @@
 fn parse_peer(field: &str, value: &Value) -> Result<SocketAddr, ConfigError> {
     match value.as_str() {
         Some(text) => parse_address(field, text),
-        None => Err(invalid(field, "a text", value)),
+        None => Err(invalid(field, "a string", value)),
     }
 }
 
--- a/tests/node_clients.rs
+++ b/tests/node_clients.rs
@@ -260,7 +260,7 @@
 fn a_wrong_setting_is_named_and_ends_the_start() {
     let cases: [(&str, &str, Change); 5] = [
         ("listen", "\"nowhere\"", |c| c["listen"] = "nowhere".into()),
-        ("peers[1]", "not a text: 7", |c| c["peers"] = serde_json::json!(["127.0.0.1:1", 7])),
+        ("peers[1]", "not a string: 7", |c| c["peers"] = serde_json::json!(["127.0.0.1:1", 7])),
         ("limits.sockets", "\"many\"", |c| c["limits"]["sockets"] = "many".into()),
         ("rules.coldMs", "\"long\"", |c| c["settings"]["rules"]["coldMs"] = "long".into()),
         ("classes", "", |c| c["settings"]["classes"] = serde_json::json!([])),
