--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -1,4 +1,8 @@
-//! `LB_CONFIG` and the environment, read into typed settings. The environment goes before the file.
+//! Reads the node's configuration from a JSON file and the environment.
+//!
+//! `LB_CONFIG` names the file. `LB_NAME`, `LB_LISTEN`, `LB_DISCOVERY` and `LB_CONSOLE` each override one of
+//! its keys. The platform defines these variables and the keys, so they cannot be renamed to match
+//! [`Config`].
 
 use serde_json::Value;
 use std::io;
@@ -8,124 +12,126 @@
 use wheelpath::settings_file::{self, NameIndex, SettingsFileError};
 use wheelpath::stable_hash::stable_hash;
 
-/// Names the configuration's file.
+/// The environment variable that holds the path of the configuration file.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
+/// The environment variable that overrides `name`.
 const NAME_VARIABLE: &str = "LB_NAME";
+/// The environment variable that overrides `listen`.
 const LISTEN_VARIABLE: &str = "LB_LISTEN";
+/// The environment variable that overrides `discovery`, except when the configuration is reloaded.
 const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
+/// The environment variable that overrides `console`.
 const ADMIN_VARIABLE: &str = "LB_CONSOLE";
-/// Limits where the file has none.
-const DEFAULT_SOCKETS: usize = 1024;
-const DEFAULT_MEMORY_MB: usize = 192;
-const BYTES_PER_MB: usize = 1024 * 1024;
+/// The limit of file descriptors if `limits.sockets` is absent.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
+/// The memory limit if `limits.memory_mb` is absent, in MiB.
+const DEFAULT_MEMORY_MIB: usize = 192;
+const BYTES_PER_MIB: usize = 1024 * 1024;
 
-/// All that a node is configured with.
+/// The configuration of one node.
 pub struct Config {
-    /// This node's name.
+    /// The name that the node logs when it starts. Empty if none is configured.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which the node accepts clients' connections, unless it inherits a listening socket.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Seed of the decisions.
+    /// Seed of the balancer's random numbers.
     pub seed: u64,
-    /// File descriptors that the process may hold.
-    pub sockets: usize,
-    /// Memory that it may take, in bytes.
-    pub memory: usize,
-    /// Where operators connect; none where the node takes no commands.
+    /// The maximum number of file descriptors for all processes of this node.
+    pub max_descriptors: usize,
+    /// The memory limit for all processes of this node, in bytes.
+    pub memory_bytes: usize,
+    /// The address at which the node accepts operators' commands. `None` if it accepts none.
     pub admin_listen: Option<SocketAddr>,
-    /// Where datagrams of other nodes arrive.
+    /// The address at which the node receives datagrams from its peers. `None` if it exchanges none.
     pub peer_listen: Option<SocketAddr>,
-    /// The nodes of the tier, by number.
+    /// The addresses of all nodes of the tier, this one included, in the order of their node index.
     pub peers: Vec<SocketAddr>,
-    /// Reaches every node of the tier.
+    /// An address whose datagrams reach every node of the tier. If it is `None`, the node sends one datagram
+    /// to each peer instead.
     pub peer_broadcast: Option<SocketAddr>,
-    /// The endpoint list as last known, in discovery's form.
-    pub known: Value,
-    /// What the decisions need.
+    /// The endpoint list that the node uses until discovery responds, in the JSON form of a discovery
+    /// response. Null if the file has none.
+    pub cached_endpoint_list: Value,
+    /// The settings of the balancer.
     pub settings: Settings,
-    /// Names of classes and zones.
+    /// Resolves the names of classes and zones in requests and endpoint lists.
     pub names: NameIndex,
 }
 
-/// Why no node can be started from this configuration.
+/// A configuration from which no node can start.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// There is no configuration.
+    /// The environment does not name a configuration file.
     #[error("{CONFIG_VARIABLE} is not set")]
     Unset,
     /// The file cannot be read.
     #[error("{CONFIG_VARIABLE}: {path}: {cause}")]
-    Read {
-        /// The file.
-        path: String,
-        /// Why.
-        cause: io::Error,
-    },
-    /// The file is no JSON.
+    Read { path: String, cause: io::Error },
+    /// The file is not valid JSON.
     #[error("{CONFIG_VARIABLE}: {path}: {cause}")]
-    Json {
-        /// The file.
-        path: String,
-        /// Why.
-        cause: serde_json::Error,
-    },
-    /// A field that must be there is absent.
+    Json { path: String, cause: serde_json::Error },
+    /// A required key is absent; holds the key.
     #[error("{0}: missing")]
     Missing(&'static str),
-    /// A field holds something else than it should.
-    #[error("{field}: not {expected}: {value}")]
+    /// The value of a key has the wrong type, or is out of range for a whole number.
+    #[error("{key}: not {expected}: {value}")]
     Invalid {
-        /// The field.
-        field: String,
-        /// What it should hold.
+        /// The key, with its dotted path or its index in an array.
+        key: String,
+        /// The expected type, with its article.
         expected: &'static str,
-        /// What it holds.
+        /// The value found.
         value: Value,
     },
-    /// A field that should hold an address holds something else.
-    #[error("{field}: {text:?} is not an address and port")]
+    /// The value of a key, or of the environment variable that overrides the key, is a string but not an
+    /// address.
+    #[error("{key}: {text:?} is not an address and port")]
     Address {
-        /// The field.
-        field: String,
-        /// What it holds.
+        /// The key, with its index if it is in an array. An environment variable has the key that it
+        /// overrides.
+        key: String,
+        /// The string found.
         text: String,
     },
-    /// The settings are wrong.
+    /// The balancer's settings cannot be read.
     #[error("settings: {0}")]
     Settings(#[from] SettingsFileError),
 }
 
-fn invalid(field: impl Into<String>, expected: &'static str, value: &Value) -> ConfigError {
-    ConfigError::Invalid { field: field.into(), expected, value: value.clone() }
+fn invalid(key: impl Into<String>, expected: &'static str, value: &Value) -> ConfigError {
+    ConfigError::Invalid { key: key.into(), expected, value: value.clone() }
 }
 
-/// The file, with the environment before it.
-struct Source<'a> {
+/// The parsed file and the environment, from which a configuration is read.
+struct ConfigSource<'a> {
     json: &'a Value,
-    /// The value of an environment variable, if it counts.
-    variable: &'a dyn Fn(&str) -> Option<String>,
+    /// Returns the value of the environment variable with this name. Returns `None` if the variable is not
+    /// set or must be ignored.
+    environment: &'a dyn Fn(&str) -> Option<String>,
 }
 
-impl Source<'_> {
-    /// A text, from the environment if a variable goes before the file there.
-    fn text(&self, field: &str, variable: Option<&str>) -> Result<Option<String>, ConfigError> {
-        if let Some(value) = variable.and_then(self.variable) {
+impl ConfigSource<'_> {
+    /// Reads an optional string from the environment variable, or from the file if the variable is `None` or
+    /// not set.
+    fn string(&self, key: &str, variable: Option<&str>) -> Result<Option<String>, ConfigError> {
+        if let Some(value) = variable.and_then(self.environment) {
             return Ok(Some(value));
         }
-        match self.json.get(field) {
+        match self.json.get(key) {
             None | Some(Value::Null) => Ok(None),
             Some(Value::String(text)) => Ok(Some(text.clone())),
-            Some(value) => Err(invalid(field, "a string", value)),
+            Some(value) => Err(invalid(key, "a string", value)),
         }
     }
 
-    fn address(&self, field: &str, variable: Option<&str>) -> Result<Option<SocketAddr>, ConfigError> {
-        self.text(field, variable)?.map(|text| parse_address(field, &text)).transpose()
+    /// Reads an optional address from where [`ConfigSource::string`] finds its text.
+    fn address(&self, key: &str, variable: Option<&str>) -> Result<Option<SocketAddr>, ConfigError> {
+        self.string(key, variable)?.map(|text| parse_address(key, &text)).transpose()
     }
 
-    /// A limit, or its default where the file has none.
+    /// Reads a key of the object `limits`. Returns `default` if the key is absent.
     fn limit(&self, name: &str, default: usize) -> Result<usize, ConfigError> {
         match self.json.pointer(&format!("/limits/{name}")) {
             None | Some(Value::Null) => Ok(default),
@@ -136,7 +142,8 @@
         }
     }
 
-    /// A number, or a text in hexadecimal, or any other text by its hash.
+    /// Reads the seed: a whole number, a string that holds a hexadecimal number, or any other string, which
+    /// is hashed.
     fn seed(&self) -> Result<u64, ConfigError> {
         match self.json.get("seed") {
             Some(value @ Value::Number(number)) => {
@@ -150,6 +157,7 @@
         }
     }
 
+    /// Reads the array of peer addresses. Returns an empty list if it is absent.
     fn peers(&self) -> Result<Vec<SocketAddr>, ConfigError> {
         match self.json.get("peers") {
             None | Some(Value::Null) => Ok(Vec::new()),
@@ -163,66 +171,68 @@
     }
 }
 
-fn parse_peer(field: &str, value: &Value) -> Result<SocketAddr, ConfigError> {
+fn parse_peer(key: &str, value: &Value) -> Result<SocketAddr, ConfigError> {
     match value.as_str() {
-        Some(text) => parse_address(field, text),
-        None => Err(invalid(field, "a string", value)),
+        Some(text) => parse_address(key, text),
+        None => Err(invalid(key, "a string", value)),
     }
 }
 
-fn parse_address(field: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| ConfigError::Address { field: field.to_owned(), text: text.to_owned() })
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::Address { key: key.to_owned(), text: text.to_owned() })
 }
 
 impl Config {
-    /// Reads the file that `LB_CONFIG` names; the environment goes before it.
+    /// Reads the configuration file that `LB_CONFIG` names. The environment overrides the file.
     ///
     /// # Errors
-    /// No node can be started from it.
+    /// The file cannot be read, is not valid JSON, lacks a required key, or has an invalid value.
     pub fn load() -> Result<Config, ConfigError> {
         Config::read_file(&|variable| std::env::var(variable).ok())
     }
 
-    /// Reads the file again. The environment is as it was at the start: what the file says of discovery is
-    /// newer.
+    /// Reads the configuration file again, but takes the address of discovery from the file alone.
+    ///
+    /// The environment of a process does not change while it runs, so the address in `LB_DISCOVERY` is older
+    /// than the one in the file.
     ///
     /// # Errors
-    /// No node can be started from it.
+    /// The same as for [`Config::load`].
     pub fn reload() -> Result<Config, ConfigError> {
         Config::read_file(&|variable| {
             std::env::var(variable).ok().filter(|_| variable != DISCOVERY_VARIABLE)
         })
     }
 
-    fn read_file(variable: &dyn Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+    fn read_file(environment: &dyn Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let path = std::env::var(CONFIG_VARIABLE).map_err(|_| ConfigError::Unset)?;
         let content = match std::fs::read_to_string(&path) {
             Ok(content) => content,
             Err(cause) => return Err(ConfigError::Read { path, cause }),
         };
         match serde_json::from_str(&content) {
-            Ok(json) => Config::read(&Source { json: &json, variable }),
+            Ok(json) => Config::read(&ConfigSource { json: &json, environment }),
             Err(cause) => Err(ConfigError::Json { path, cause }),
         }
     }
 
-    fn read(source: &Source<'_>) -> Result<Config, ConfigError> {
+    fn read(source: &ConfigSource<'_>) -> Result<Config, ConfigError> {
         let listen = source.address("listen", Some(LISTEN_VARIABLE))?;
         let discovery = source.address("discovery", Some(DISCOVERY_VARIABLE))?;
         let settings = source.json.get("settings").ok_or(ConfigError::Missing("settings"))?;
         let (settings, names) = settings_file::read_value(settings)?;
         Ok(Config {
-            name: source.text("name", Some(NAME_VARIABLE))?.unwrap_or_default(),
+            name: source.string("name", Some(NAME_VARIABLE))?.unwrap_or_default(),
             listen: listen.ok_or(ConfigError::Missing("listen"))?,
             discovery: discovery.ok_or(ConfigError::Missing("discovery"))?,
             seed: source.seed()?,
-            sockets: source.limit("sockets", DEFAULT_SOCKETS)?,
-            memory: source.limit("memory_mb", DEFAULT_MEMORY_MB)?.saturating_mul(BYTES_PER_MB),
+            max_descriptors: source.limit("sockets", DEFAULT_MAX_DESCRIPTORS)?,
+            memory_bytes: source.limit("memory_mb", DEFAULT_MEMORY_MIB)?.saturating_mul(BYTES_PER_MIB),
             admin_listen: source.address("console", Some(ADMIN_VARIABLE))?,
             peer_listen: source.address("peer_listen", None)?,
             peers: source.peers()?,
             peer_broadcast: source.address("peers_all", None)?,
-            known: source.json.get("known").cloned().unwrap_or(Value::Null),
+            cached_endpoint_list: source.json.get("known").cloned().unwrap_or(Value::Null),
             settings,
             names,
         })
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -162,11 +162,11 @@
 /// Two processes together may use no more than one.
 fn allot_resources(config: &Config, is_shared: bool) -> Resources {
     let processes = if is_shared { 2 } else { 1 };
-    let memory = config.memory / processes;
+    let memory = config.memory_bytes / processes;
     // Descriptors beyond what the system allows are of no use: clients would take the last of them from all
     // others.
     let system_limit = descriptors::system_limit().unwrap_or(usize::MAX);
-    let sockets = (config.sockets / processes).min(system_limit);
+    let sockets = (config.max_descriptors / processes).min(system_limit);
     // Operators find a place whatever clients hold.
     let for_admin = if config.admin_listen.is_some() { admin::MAX_CONNECTIONS + 1 } else { 0 };
     Resources {
@@ -207,7 +207,7 @@
         let driver = Driver::new(balancer, guard, upstream.clone(), sockets.peers.clone(), request_watch);
         let names = Rc::new(config.names);
         driver.take(DriverEvent::Start);
-        let version = Rc::new(Cell::new(report_known_list(&driver, &config.known, &names)));
+        let version = Rc::new(Cell::new(report_known_list(&driver, &config.cached_endpoint_list, &names)));
         let takeover = is_shared.then(|| Takeover::new(version.clone()));
         let is_behind = takeover.as_ref().is_some_and(|takeover| take_over(takeover, &driver));
         let (discovery, address) = watch::channel(config.discovery);
