--- a/src/node/frontend/client_connection.rs
+++ b/src/node/frontend/client_connection.rs
@@ -1,4 +1,8 @@
-//! What the node knows of one client's connection: its state, and its timeouts.
+//! Tracks the state and the timeouts of a client's connection.
+//!
+//! hyper parses the requests, but does not tell whether part of a request head has arrived or whether the
+//! client still reads a response. [`ClientConnection`] derives that from the byte counts of the socket, so
+//! that slow and silent clients can be disconnected and idle connections can be evicted.
 
 use crate::system::socket::Socket;
 use hyper::Request;
@@ -9,82 +13,89 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// A connection is closed if no complete request head has come this long after its first byte or after the
-/// last response.
+/// The time allowed for a complete request head, counted from its first byte, or from the accept or the end
+/// of the last response as long as no byte has arrived. After this time the connection is closed.
 pub(super) const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
-/// The same for the first request, counted from the connect.
+/// The time allowed for the first complete request head, counted from the accept. A client that never sends
+/// a complete head has to be disconnected within 3 s of connecting.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2800);
-/// A client that reads nothing of a streamed response for this time is disconnected. The system's send
-/// buffer hides a slow client for a few seconds.
+/// A client that reads nothing of a streamed response for this time is disconnected. While a slow client
+/// drains the system's send buffer, nothing can be written for a few seconds; the timeout must be longer.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a connection is doing.
+/// The state of a client's connection, which decides whether the connection may be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// It has not sent a complete request head yet.
+    /// The client has not sent a complete request head yet.
     AwaitingFirstRequest,
-    /// A request on it has not been answered, or its response is still on its way.
+    /// A request has no response yet, or its response is still being sent.
     Serving,
-    /// It has been answered and nothing of a further request has come.
+    /// All requests have been answered, and no byte of another one has arrived.
     Idle,
-    /// Some of a further request has come, and is not read as one yet.
+    /// Part of the head of a request other than the first has arrived.
     ReadingRequest,
-    /// Its last response is given, and only what the client still sends is read.
+    /// The last response has been sent. The node reads and discards the rest that the client sends.
     Closing,
 }
 
-/// How much of a streamed response has been written, and since when no more.
+/// The number of bytes written to a connection, and since when the number has not changed.
 #[derive(Clone, Copy, Debug)]
 struct WriteProgress {
-    written: u64,
-    since: Instant,
+    written_bytes: u64,
+    unchanged_since: Instant,
 }
 
-/// One client connection.
+/// A client's connection.
 pub(super) struct ClientConnection {
     pub socket: Socket,
-    /// Requests on it whose responses have not ended; with pipelining there may be several.
+    /// The number of requests whose responses have not ended. With pipelining there may be several.
     pub requests_in_progress: Cell<u32>,
     has_sent_request: Cell<bool>,
-    /// When its first request came, if that had to wait until this node accepted the connection.
-    pub waited_since: Cell<Option<Instant>>,
+    /// When the first bytes of the first request arrived. `None` if the connection did not wait
+    /// noticeably in the accept queue, or once the first request has taken the value.
+    pub queued_since: Cell<Option<Instant>>,
+    /// When the connection was accepted or the last response ended.
     pub idle_since: Cell<Instant>,
-    /// Bytes read when it last became idle.
-    read_when_idle: Cell<u64>,
-    /// When it was first seen with a partly read request while descriptors were scarce.
-    stuck_since: Cell<Option<Instant>>,
+    /// The number of bytes read from the socket at `idle_since`.
+    bytes_read_when_idle: Cell<u64>,
+    /// When [`ClientConnection::partial_request_seen_for`] was first called for the request head that is
+    /// being read. It is called only if the node wants to close connections, for example because
+    /// descriptors are scarce.
+    partial_request_seen_at: Cell<Option<Instant>>,
     pub is_closing: Cell<bool>,
-    /// Requests with a Content-Length.
-    declared_lengths: Cell<u64>,
-    /// A streamed response is on its way to it.
-    pub takes_stream: Cell<bool>,
+    /// The number of requests in which hyper reported a Content-Length header.
+    reported_content_lengths: Cell<u64>,
+    /// Whether a streamed response is being sent.
+    pub is_streaming_response: Cell<bool>,
     write_progress: Cell<WriteProgress>,
-    /// The trace id of its last request, for the log.
+    /// The trace id of the last request, for the log.
     pub last_trace_id: RefCell<Option<HeaderValue>>,
+    /// Asks the task that serves the connection to close it.
     pub close_requested: Notify,
 }
 
 impl ClientConnection {
-    pub fn new(socket: Socket, waited_since: Option<Instant>) -> ClientConnection {
+    /// Tracks a connection that was just accepted. `queued_since` is when its first bytes arrived, or
+    /// `None` if the connection did not wait noticeably in the accept queue.
+    pub fn new(socket: Socket, queued_since: Option<Instant>) -> ClientConnection {
         socket.expect_head();
         ClientConnection {
             socket,
             requests_in_progress: Cell::new(0),
             has_sent_request: Cell::new(false),
-            waited_since: Cell::new(waited_since),
+            queued_since: Cell::new(queued_since),
             idle_since: Cell::new(Instant::now()),
-            read_when_idle: Cell::new(0),
-            stuck_since: Cell::new(None),
+            bytes_read_when_idle: Cell::new(0),
+            partial_request_seen_at: Cell::new(None),
             is_closing: Cell::new(false),
-            declared_lengths: Cell::new(0),
-            takes_stream: Cell::new(false),
-            write_progress: Cell::new(WriteProgress { written: 0, since: Instant::now() }),
+            reported_content_lengths: Cell::new(0),
+            is_streaming_response: Cell::new(false),
+            write_progress: Cell::new(WriteProgress { written_bytes: 0, unchanged_since: Instant::now() }),
             last_trace_id: RefCell::default(),
             close_requested: Notify::new(),
         }
     }
 
-    /// What it is doing.
     pub fn state(&self) -> ConnectionState {
         if self.is_closing.get() {
             ConnectionState::Closing
@@ -92,41 +103,43 @@
             ConnectionState::Serving
         } else if !self.has_sent_request.get() {
             ConnectionState::AwaitingFirstRequest
-        } else if self.has_unread_request() {
+        } else if self.has_partial_request() {
             ConnectionState::ReadingRequest
         } else {
             ConnectionState::Idle
         }
     }
 
-    /// It has sent a complete request head.
+    /// Whether the client has sent a complete request head on this connection.
     pub fn has_sent_request(&self) -> bool {
         self.has_sent_request.get()
     }
 
-    /// Its last response is given.
+    /// Whether the connection is in the state [`ConnectionState::Closing`].
     pub fn is_closing(&self) -> bool {
         self.is_closing.get()
     }
 
-    /// Some of a request has come, and is not read as one yet.
-    pub fn has_unread_request(&self) -> bool {
-        self.socket.read() != self.read_when_idle.get()
+    /// Whether bytes have been read since the connection became idle. As long as no request is in progress,
+    /// they are part of an incomplete request head.
+    pub fn has_partial_request(&self) -> bool {
+        self.socket.read() != self.bytes_read_when_idle.get()
     }
 
+    /// Returns the time since the accept or the end of the last response.
     pub fn idle_for(&self) -> Duration {
         self.idle_since.get().elapsed()
     }
 
-    /// For how long it has been seen with a partly read request.
-    pub fn stuck_for(&self) -> Duration {
-        let since = self.stuck_since.get().unwrap_or_else(Instant::now);
-        self.stuck_since.set(Some(since));
-        since.elapsed()
+    /// Returns the time since this was first called for the request head that is being read. The caller
+    /// must have found the connection in the state [`ConnectionState::ReadingRequest`].
+    pub fn partial_request_seen_for(&self) -> Duration {
+        let seen_at = self.partial_request_seen_at.get().unwrap_or_else(Instant::now);
+        self.partial_request_seen_at.set(Some(seen_at));
+        seen_at.elapsed()
     }
 
-    /// When its request head must be complete. A client that never sends a complete one has to be
-    /// disconnected within three seconds of connecting.
+    /// Returns when the next request head must be complete.
     pub fn head_deadline(&self) -> Instant {
         let idle_since = self.idle_since.get();
         match self.socket.head_begun_at() {
@@ -136,40 +149,48 @@
         }
     }
 
-    /// Nothing is on it, and no complete request head came in time.
-    pub fn idle_timeout_elapsed(&self) -> bool {
+    /// Whether no request is in progress and no complete request head has arrived in time.
+    pub fn head_timeout_elapsed(&self) -> bool {
         self.requests_in_progress.get() == 0 && self.head_deadline() <= Instant::now()
     }
 
-    /// The client takes nothing more of the streamed response on its way to it.
+    /// Whether the client has read nothing of a streamed response for [`RESPONSE_STALL_TIMEOUT`]. Each call
+    /// updates the progress on which the next one is based.
     pub fn response_stalled(&self) -> bool {
         let progress = self.write_progress.get();
-        if !self.takes_stream.get() || progress.written != self.socket.written() {
-            let progress = WriteProgress { written: self.socket.written(), since: Instant::now() };
+        if !self.is_streaming_response.get() || progress.written_bytes != self.socket.written() {
+            let progress =
+                WriteProgress { written_bytes: self.socket.written(), unchanged_since: Instant::now() };
             self.write_progress.set(progress);
             return false;
         }
-        progress.since.elapsed() > RESPONSE_STALL_TIMEOUT
+        progress.unchanged_since.elapsed() > RESPONSE_STALL_TIMEOUT
     }
 
-    /// Counts a request's Content-Length header. True if more such header lines were received than hyper
-    /// reports: it drops the length of a chunked request, which may be an attempt at request smuggling.
-    pub fn hides_length(&self, request: &Request<Incoming>) -> bool {
-        let declares_length = request.headers().contains_key(CONTENT_LENGTH);
-        self.declared_lengths.set(self.declared_lengths.get() + u64::from(declares_length));
+    /// Returns whether a chunked request also has a Content-Length header, which may be an attempt at
+    /// request smuggling.
+    ///
+    /// hyper removes the Content-Length header of a chunked request. So this compares the number of such
+    /// header lines received on the connection with the number that hyper has reported, and must be called
+    /// exactly once for each request.
+    pub fn has_removed_content_length(&self, request: &Request<Incoming>) -> bool {
+        let has_content_length = request.headers().contains_key(CONTENT_LENGTH);
+        self.reported_content_lengths
+            .set(self.reported_content_lengths.get() + u64::from(has_content_length));
         request.headers().contains_key(TRANSFER_ENCODING)
-            && self.socket.length_headers() > self.declared_lengths.get()
+            && self.socket.length_headers() > self.reported_content_lengths.get()
     }
 }
 
-/// Marks a connection as serving for as long as a request is on it.
+/// Keeps a connection in the state [`ConnectionState::Serving`] until dropped, which must be at the end of
+/// the response.
 pub(super) struct RequestInProgress(Rc<ClientConnection>);
 
 impl RequestInProgress {
     pub fn new(client: Rc<ClientConnection>) -> RequestInProgress {
         client.requests_in_progress.set(client.requests_in_progress.get() + 1);
         client.has_sent_request.set(true);
-        client.stuck_since.set(None);
+        client.partial_request_seen_at.set(None);
         RequestInProgress(client)
     }
 }
@@ -181,9 +202,9 @@
         if client.requests_in_progress.get() > 0 {
             return;
         }
-        client.takes_stream.set(false);
+        client.is_streaming_response.set(false);
         client.socket.expect_head();
         client.idle_since.set(Instant::now());
-        client.read_when_idle.set(client.socket.read());
+        client.bytes_read_when_idle.set(client.socket.read());
     }
 }
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -95,10 +95,10 @@
         self: &Rc<Self>,
         stream: TcpStream,
         permit: DescriptorPermit,
-        waited_since: Option<Instant>,
+        queued_since: Option<Instant>,
     ) {
         let socket = Socket::new(stream, permit);
-        let client = Rc::new(ClientConnection::new(socket.clone(), waited_since));
+        let client = Rc::new(ClientConnection::new(socket.clone(), queued_since));
         let number = self.next_client.get();
         self.next_client.set(number + 1);
         self.clients.borrow_mut().insert(number, client.clone());
@@ -169,7 +169,7 @@
         request: Request<Incoming>,
         client: &'a Rc<ClientConnection>,
     ) -> impl Future<Output = Result<ClientResponse, ClientLeft>> + 'a {
-        let hides_length = client.hides_length(&request);
+        let hides_length = client.has_removed_content_length(&request);
         client.last_trace_id.replace(request.headers().get(headers::TRACE_ID).cloned());
         let in_progress = RequestInProgress::new(client.clone());
         async move {
@@ -179,7 +179,7 @@
             } else {
                 self.respond(request, client).await?
             };
-            client.takes_stream.set(response.body().is_streamed());
+            client.is_streaming_response.set(response.body().is_streamed());
             if response.body().is_streamed() {
                 client.socket.limit_unsent();
             }
@@ -190,7 +190,7 @@
 
     /// Whether a timeout of the connection has elapsed.
     fn check_timeouts(&self, client: &ClientConnection, check: &mut TimeoutCheck) -> Option<CloseReason> {
-        let has_elapsed = client.idle_timeout_elapsed();
+        let has_elapsed = client.head_timeout_elapsed();
         // If this task was polled late, unread bytes may have come in time: the connection gets one more
         // check.
         let is_late_here = has_elapsed && !check.was_extended && !client.socket.quiet();
@@ -217,7 +217,7 @@
         client: &ClientConnection,
     ) -> Result<ClientResponse, ClientLeft> {
         let arrival =
-            ArrivalTime { head_read_at: Instant::now(), waited_since: client.waited_since.take() };
+            ArrivalTime { head_read_at: Instant::now(), queued_since: client.queued_since.take() };
         let (head, body) = request.into_parts();
         let path = head.uri.path();
         let mut response = if path == "/api" || path.starts_with("/api/") {
--- a/src/node/frontend/eviction.rs
+++ b/src/node/frontend/eviction.rs
@@ -47,7 +47,7 @@
             }
             ConnectionState::Idle => self.socket.quiet(),
             ConnectionState::ReadingRequest => {
-                self.stuck_for() > STUCK_REQUEST_TIMEOUT && self.socket.quiet()
+                self.partial_request_seen_for() > STUCK_REQUEST_TIMEOUT && self.socket.quiet()
             }
         }
     }
@@ -93,7 +93,7 @@
         let clients = self.clients.borrow();
         let closable = clients
             .values()
-            .filter(|client| client.may_close() && (unfinished_heads || !client.has_unread_request()));
+            .filter(|client| client.may_close() && (unfinished_heads || !client.has_partial_request()));
         for client in closable {
             client.close_requested.notify_one();
         }
--- a/src/node/frontend/listener.rs
+++ b/src/node/frontend/listener.rs
@@ -41,8 +41,8 @@
                     // If descriptors are scarce this waits for one: others wait in the backlog and are taken
                     // then.
                     let permit = self.descriptors.take_for_client().await;
-                    let waited_since = accept_time::first_byte(&stream, acceptor.waited_at_most());
-                    self.serve(stream, permit, waited_since);
+                    let queued_since = accept_time::first_byte(&stream, acceptor.waited_at_most());
+                    self.serve(stream, permit, queued_since);
                 }
                 Err(error) => {
                     self.count_rejection(error.text());
--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -98,7 +98,7 @@
     /// Its head was read.
     pub head_read_at: Instant,
     /// Its first byte came, if it waited for this node to take its connection: its client counts from then.
-    pub waited_since: Option<Instant>,
+    pub queued_since: Option<Instant>,
 }
 
 /// A body as far as it was read, and the memory that it takes.
@@ -167,7 +167,7 @@
             return Err(BadRequest::malformed("a request that is safe to repeat has no body\n"));
         }
         // The time counts from the last byte: of a body that is streamed, that comes later.
-        let arrived_at = arrival.waited_since.unwrap_or_else(Instant::now);
+        let arrived_at = arrival.queued_since.unwrap_or_else(Instant::now);
         // A client that withholds its body occupies no id.
         let trace_id = self.trace_ids.take(trace_id);
         let conflict = BadRequest::new(StatusCode::CONFLICT, "an open request has this X-Trace-Id\n");
