--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -1,4 +1,8 @@
-//! Serves one client's connection, from its accept to its close.
+//! Serves a client's connection from its accept to its close.
+//!
+//! One task per connection runs hyper's HTTP/1 server, checks the timeouts, and reacts to requests to close
+//! the connection. Whichever ends the connection gives a [`CloseReason`], and [`Frontend::close`] closes the
+//! socket in the way that the reason calls for.
 
 use super::Frontend;
 use super::client_connection::{
@@ -22,60 +26,68 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// Timeouts of a connection that carries a request are checked again after this time.
-const TIMEOUT_RECHECK: Duration = Duration::from_millis(100);
-/// Lingering close: what a client still sends when its connection ends is read for this time and up to this
-/// many bytes. Closing a socket with unread bytes resets the connection, and the client would lose a
-/// response in flight.
+/// The minimum time between two checks of a connection's timeouts. While a request is in progress, the time
+/// at which its head had to be complete soon lies in the past, and the checks follow at this interval.
+const MIN_TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The maximum time of a lingering close, in which the node reads and discards the rest that the client
+/// sends. Closing a socket with unread bytes resets the connection, and the client would lose a response in
+/// flight.
 const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The maximum number of bytes that the node discards in a lingering close.
 const LINGERING_CLOSE_BYTES: usize = 32 * 1024 * 1024;
-const BOTH_FRAMINGS: &str = "both a length and chunks\n";
+/// The response to a request that has both a Content-Length and a Transfer-Encoding header.
+const CONFLICTING_FRAMING: &str = "both a length and chunks\n";
 
-/// The client has left: there is nobody to answer.
+/// The client has disconnected before its request was answered.
 #[derive(Debug, Error)]
-#[error("the client has left")]
-struct ClientLeft;
+#[error("the client has disconnected")]
+struct ClientDisconnected;
 
-/// Why a client's connection ends.
+/// Why a client's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
-    /// The client ended it, or what it sent cannot be read and was answered so.
-    Client,
-    /// The last response said so, or hyper ended it behind one.
-    Answered,
-    /// A response broke off, and its end must not look like a complete one.
-    Broken,
-    /// Nothing came on it for long.
-    Idle,
-    /// A request head was never completed.
-    HalfHead,
-    /// The client takes nothing of a streamed response.
-    Stalled,
-    /// Its descriptor is needed, or the node winds down.
+    /// The connection failed, the client closed it within a request, or the client sent something that is
+    /// not valid HTTP.
+    ClientError,
+    /// hyper ended the connection without an error: after a response with `Connection: close`, or because
+    /// the client closed it between two requests.
+    Completed,
+    /// The body of a response broke off, or the client disconnected before its request was answered. The
+    /// socket is reset, so that an incomplete response does not look complete.
+    ResponseBroken,
+    /// No byte of a request arrived in time.
+    IdleTimeout,
+    /// A request head was not completed in time.
+    HeadTimeout,
+    /// The client has stopped reading a streamed response.
+    ResponseStalled,
+    /// The frontend asked for the close of a connection without a request in progress, to free a
+    /// descriptor, or because the node is drained or stops.
     Evicted,
 }
 
 impl CloseReason {
-    /// As counters name it.
+    /// Returns the name in the counters.
     fn name(self) -> &'static str {
         match self {
-            CloseReason::Client => "client",
-            CloseReason::Answered => "answered",
-            CloseReason::Broken => "broken",
-            CloseReason::Idle => "idle",
-            CloseReason::HalfHead => "half-head",
-            CloseReason::Stalled => "stalled",
+            CloseReason::ClientError => "client",
+            CloseReason::Completed => "answered",
+            CloseReason::ResponseBroken => "broken",
+            CloseReason::IdleTimeout => "idle",
+            CloseReason::HeadTimeout => "half-head",
+            CloseReason::ResponseStalled => "stalled",
             CloseReason::Evicted => "wanted",
         }
     }
 
-    /// The node ends it of its own accord: then nothing on it may wait for an answer.
-    fn is_own(self) -> bool {
-        matches!(self, CloseReason::Idle | CloseReason::HalfHead | CloseReason::Evicted)
+    /// Whether the node may close a connection for this reason only if no request is in progress on it.
+    fn requires_no_request(self) -> bool {
+        matches!(self, CloseReason::IdleTimeout | CloseReason::HeadTimeout | CloseReason::Evicted)
     }
 }
 
-/// Removes a client from the table when its task ends, in whatever way.
+/// An entry in the table of clients. Dropping it removes the entry, so that no end of the connection's task
+/// can leave one behind.
 struct RegisteredClient {
     frontend: Rc<Frontend>,
     number: u64,
@@ -90,7 +102,10 @@
 }
 
 impl Frontend {
-    /// Starts the task that serves a connection, which ends with its close.
+    /// Starts the task that serves a connection. The task ends when the connection is closed.
+    ///
+    /// `queued_since` is when the connection's first bytes arrived, or `None` if the connection did not wait
+    /// noticeably in the accept queue.
     pub(super) fn serve(
         self: &Rc<Self>,
         stream: TcpStream,
@@ -99,8 +114,8 @@
     ) {
         let socket = Socket::new(stream, permit);
         let client = Rc::new(ClientConnection::new(socket.clone(), queued_since));
-        let number = self.next_client.get();
-        self.next_client.set(number + 1);
+        let number = self.next_client_number.get();
+        self.next_client_number.set(number + 1);
         self.clients.borrow_mut().insert(number, client.clone());
         let registered = RegisteredClient { frontend: self.clone(), number };
         spawn_local(async move {
@@ -109,18 +124,19 @@
         });
     }
 
-    /// The one place in which a connection ends.
+    /// Closes a connection. Every connection ends here, so that each close is counted once and no close
+    /// that leaves a request unanswered goes unnoticed.
     async fn close(&self, client: &ClientConnection, reason: CloseReason) {
         self.driver.counters.count(CounterKind::Close, reason.name());
-        if reason.is_own() && client.requests_in_progress.get() > 0 {
+        if reason.requires_no_request() && client.requests_in_progress.get() > 0 {
             let id = client.last_trace_id.borrow();
             let id = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("?");
             let text = format!("{id} {}", reason.name());
             self.driver.counters.violation(Violation::CloseUnanswered, &text);
         }
         match reason {
-            CloseReason::Broken => client.socket.reset(),
-            CloseReason::Client | CloseReason::Answered => {
+            CloseReason::ResponseBroken => client.socket.reset(),
+            CloseReason::ClientError | CloseReason::Completed => {
                 client.is_closing.set(true);
                 let discarded = client.socket.discard(LINGERING_CLOSE_BYTES);
                 tokio::select! {
@@ -128,11 +144,14 @@
                     () = client.close_requested.notified() => {}
                 }
             }
-            CloseReason::Idle | CloseReason::HalfHead | CloseReason::Stalled | CloseReason::Evicted => {}
+            CloseReason::IdleTimeout
+            | CloseReason::HeadTimeout
+            | CloseReason::ResponseStalled
+            | CloseReason::Evicted => {}
         }
     }
 
-    /// Serves requests until the connection is to end, and says why.
+    /// Serves requests until the connection must be closed, and returns the reason.
     async fn run_connection(self: &Rc<Self>, client: &Rc<ClientConnection>, socket: Socket) -> CloseReason {
         let service = service_fn(|request| self.serve_request(request, client));
         let io = TokioIo::new(socket);
@@ -142,12 +161,13 @@
         let mut is_evicted = false;
         loop {
             tokio::select! {
-                ended = connection.as_mut() => return reason_of_end(ended, is_evicted),
+                result = connection.as_mut() => return close_reason(result, is_evicted),
                 () = client.close_requested.notified() => match client.state() {
-                    // A request may have come since.
+                    // A request may have arrived since the close was requested.
                     _ if !client.may_close() => {}
                     ConnectionState::Idle => {
-                        // Its last response may still be on its way out; nothing more is read.
+                        // Part of the last response may not be written yet. hyper writes it and reads no
+                        // further request.
                         connection.as_mut().graceful_shutdown();
                         is_evicted = true;
                     }
@@ -162,20 +182,20 @@
         }
     }
 
-    /// Answers one request. The connection counts as serving from this call on, until the response has
-    /// ended.
+    /// Answers one request. The connection is in the state [`ConnectionState::Serving`] from this call until
+    /// the end of the response.
     fn serve_request<'a>(
         &'a self,
         request: Request<Incoming>,
         client: &'a Rc<ClientConnection>,
-    ) -> impl Future<Output = Result<ClientResponse, ClientLeft>> + 'a {
-        let hides_length = client.has_removed_content_length(&request);
+    ) -> impl Future<Output = Result<ClientResponse, ClientDisconnected>> + 'a {
+        let has_conflicting_framing = client.has_removed_content_length(&request);
         client.last_trace_id.replace(request.headers().get(headers::TRACE_ID).cloned());
         let in_progress = RequestInProgress::new(client.clone());
         async move {
-            let mut response = if hides_length {
-                self.count_rejection(BOTH_FRAMINGS);
-                closing(StatusCode::BAD_REQUEST, BOTH_FRAMINGS)
+            let mut response = if has_conflicting_framing {
+                self.count_rejection(CONFLICTING_FRAMING);
+                closing(StatusCode::BAD_REQUEST, CONFLICTING_FRAMING)
             } else {
                 self.respond(request, client).await?
             };
@@ -188,34 +208,36 @@
         }
     }
 
-    /// Whether a timeout of the connection has elapsed.
+    /// Returns the reason to close the connection if one of its timeouts has elapsed. Otherwise, schedules
+    /// the next check and returns `None`.
     fn check_timeouts(&self, client: &ClientConnection, check: &mut TimeoutCheck) -> Option<CloseReason> {
         let has_elapsed = client.head_timeout_elapsed();
-        // If this task was polled late, unread bytes may have come in time: the connection gets one more
-        // check.
-        let is_late_here = has_elapsed && !check.was_extended && !client.socket.quiet();
-        check.was_extended = is_late_here;
-        if has_elapsed && !is_late_here {
+        // If this task was polled late, there may be unread bytes that arrived in time. They are read before
+        // one more check.
+        let needs_another_check = has_elapsed && !check.was_repeated && !client.socket.quiet();
+        check.was_repeated = needs_another_check;
+        if has_elapsed && !needs_another_check {
             if client.socket.head_begun_at().is_none() {
-                return Some(CloseReason::Idle);
+                return Some(CloseReason::IdleTimeout);
             }
-            self.count_rejection("half a head");
-            return Some(CloseReason::HalfHead);
+            self.count_rejection("incomplete request head");
+            return Some(CloseReason::HeadTimeout);
         }
         if client.response_stalled() {
-            self.count_rejection("took nothing more");
-            return Some(CloseReason::Stalled);
+            self.count_rejection("client stopped reading the response");
+            return Some(CloseReason::ResponseStalled);
         }
-        check.next_at = client.head_deadline().max(Instant::now() + TIMEOUT_RECHECK);
+        check.next_at = client.head_deadline().max(Instant::now() + MIN_TIMEOUT_CHECK_INTERVAL);
         None
     }
 
-    /// The response to a request.
+    /// Returns the response to a request, and has it close the connection if the node stops, is drained, or
+    /// has too many keep-alive connections.
     async fn respond(
         &self,
         request: Request<Incoming>,
         client: &ClientConnection,
-    ) -> Result<ClientResponse, ClientLeft> {
+    ) -> Result<ClientResponse, ClientDisconnected> {
         let arrival =
             ArrivalTime { head_read_at: Instant::now(), queued_since: client.queued_since.take() };
         let (head, body) = request.into_parts();
@@ -233,12 +255,13 @@
         } else {
             closing(StatusCode::NOT_FOUND, "no such path\n")
         };
-        if self.sends_clients_away() || self.has_too_many_keep_alive() {
+        if self.is_stopping_or_drained() || self.exceeds_keep_alive_limit() {
             responses::set_closing(&mut response);
         }
         Ok(response)
     }
 
+    /// Returns the response to `/up`, which tells by its status whether the node accepts clients.
     fn health_response(&self, method: &Method) -> ClientResponse {
         if !matches!(*method, Method::GET | Method::HEAD) {
             closing(StatusCode::METHOD_NOT_ALLOWED, "")
@@ -249,43 +272,50 @@
         }
     }
 
-    /// Answers a request unless its client leaves first. hyper notices a client's close only when nothing
-    /// else is left to read, so behind a pipelined request it would notice too late.
-    async fn submit(&self, parsed: ParsedRequest, socket: &Socket) -> Result<ClientResponse, ClientLeft> {
+    /// Answers a request, unless the client disconnects first.
+    ///
+    /// hyper detects that a client has closed its connection only when nothing else is left to read, so it
+    /// would not detect it behind a pipelined request. This therefore asks the socket.
+    async fn submit(
+        &self,
+        parsed: ParsedRequest,
+        socket: &Socket,
+    ) -> Result<ClientResponse, ClientDisconnected> {
         if self.driver.open_requests() >= self.max_open_requests {
             return Ok(full());
         }
-        let ParsedRequest { request, proxied, deadline, expires_at, trace_id: _held } = parsed;
+        let ParsedRequest { request, proxied, deadline, expires_at, trace_id_guard: _trace_id_guard } =
+            parsed;
         tokio::select! {
             biased;
-            () = socket.left() => Err(ClientLeft),
+            () = socket.left() => Err(ClientDisconnected),
             answer = async { self.driver.submit(request, proxied, deadline, expires_at).answer().await } => {
-                Ok(responses::of_answer(answer))
+                Ok(responses::from_answer(answer))
             }
         }
     }
 }
 
-/// When the timeouts of a connection are checked.
+/// The schedule of the timeout checks of one connection.
 struct TimeoutCheck {
     next_at: Instant,
-    /// The last check was extended once.
-    was_extended: bool,
+    /// Whether the last check found a timeout elapsed, but called for one more check.
+    was_repeated: bool,
 }
 
 impl TimeoutCheck {
     fn new() -> TimeoutCheck {
-        TimeoutCheck { next_at: Instant::now() + REQUEST_HEAD_TIMEOUT, was_extended: false }
+        TimeoutCheck { next_at: Instant::now() + REQUEST_HEAD_TIMEOUT, was_repeated: false }
     }
 }
 
-/// Why hyper ended a connection. User errors come from response bodies that broke off, which must not look
-/// complete to the client; other errors are the client's.
-fn reason_of_end(ended: Result<(), hyper::Error>, is_evicted: bool) -> CloseReason {
-    match ended {
-        Err(error) if error.is_user() => CloseReason::Broken,
+/// Returns why hyper ended a connection. hyper calls the errors of response bodies and of
+/// [`Frontend::serve_request`] user errors; all others come from the client or its connection.
+fn close_reason(result: Result<(), hyper::Error>, is_evicted: bool) -> CloseReason {
+    match result {
+        Err(error) if error.is_user() => CloseReason::ResponseBroken,
         _ if is_evicted => CloseReason::Evicted,
-        Ok(()) => CloseReason::Answered,
-        Err(_) => CloseReason::Client,
+        Ok(()) => CloseReason::Completed,
+        Err(_) => CloseReason::ClientError,
     }
 }
--- a/src/node/frontend/mod.rs
+++ b/src/node/frontend/mod.rs
@@ -43,7 +43,7 @@
     buffer: usize,
     descriptors: Rc<Descriptors>,
     clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    next_client: Cell<u64>,
+    next_client_number: Cell<u64>,
     /// What was rejected since that was last logged, by the response's text, and clients cut for being
     /// slow.
     rejection_counts: RefCell<BTreeMap<&'static str, u32>>,
@@ -76,7 +76,7 @@
             buffer,
             descriptors: descriptors.clone(),
             clients: RefCell::default(),
-            next_client: Cell::new(0),
+            next_client_number: Cell::new(0),
             rejection_counts: RefCell::default(),
             rejections_logged_at: Cell::new(None),
             logged_readiness: Cell::new(None),
@@ -112,7 +112,7 @@
 
     /// Whether more clients stay than may keep idle connections: those whose requests come now are
     /// served and go, so that the next find a place.
-    fn has_too_many_keep_alive(&self) -> bool {
+    fn exceeds_keep_alive_limit(&self) -> bool {
         let stays = |client: &&Rc<ClientConnection>| client.has_sent_request() && !client.is_closing();
         let staying = self.clients.borrow().values().filter(stays).count();
         staying > self.descriptors.limit() / KEEP_ALIVE_PART
--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -89,7 +89,7 @@
     /// When this node does so without them.
     pub expires_at: Instant,
     /// Kept for as long as the request is open.
-    pub trace_id: TraceIdGuard,
+    pub trace_id_guard: TraceIdGuard,
 }
 
 /// When a request came.
@@ -169,10 +169,10 @@
         // The time counts from the last byte: of a body that is streamed, that comes later.
         let arrived_at = arrival.queued_since.unwrap_or_else(Instant::now);
         // A client that withholds its body occupies no id.
-        let trace_id = self.trace_ids.take(trace_id);
+        let trace_id_guard = self.trace_ids.take(trace_id);
         let conflict = BadRequest::new(StatusCode::CONFLICT, "an open request has this X-Trace-Id\n");
         Ok(ParsedRequest {
-            trace_id: trace_id.ok_or(conflict)?,
+            trace_id_guard: trace_id_guard.ok_or(conflict)?,
             request: decision_request(&head, class_index, arrived_at),
             proxied: proxied_request(head, body, memory),
             deadline: arrived_at + wait.saturating_sub(DECISION_MARGIN),
--- a/src/node/frontend/responses.rs
+++ b/src/node/frontend/responses.rs
@@ -39,7 +39,7 @@
 }
 
 /// The final answer of a request, as the client sees it.
-pub(super) fn of_answer(answer: Answer) -> ClientResponse {
+pub(super) fn from_answer(answer: Answer) -> ClientResponse {
     match answer {
         Answer::Served(reply) => {
             let mut response = Response::new(reply.body);
--- a/src/node/frontend/shutdown.rs
+++ b/src/node/frontend/shutdown.rs
@@ -69,7 +69,7 @@
     }
 
     /// Whether clients are sent away: the process is to end, or operators want no clients here.
-    pub(super) fn sends_clients_away(&self) -> bool {
+    pub(super) fn is_stopping_or_drained(&self) -> bool {
         self.stopping_since.get().is_some() || self.drained_since.get().is_some()
     }
 }
