--- a/src/node/frontend/eviction.rs
+++ b/src/node/frontend/eviction.rs
@@ -1,19 +1,22 @@
-//! Which client's connection is closed when there is no descriptor for another.
+//! Closes clients' connections without a request in progress, when their descriptors are needed and when
+//! the node is drained or stops.
 //!
 //! A connection that looks idle may have unread bytes in the system's receive buffer, which may be a
-//! complete request. So it is closed only if the system has no unread bytes either.
+//! complete request. So a connection is closed only if the system has no unread bytes either.
 
 use super::Frontend;
 use super::client_connection::{ClientConnection, ConnectionState};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The first request of a connection this young is probably in flight.
+/// The time after the accept in which a connection without a request is not closed, because its first
+/// request is probably in flight.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(25);
-/// If descriptors are scarce, a client that has not gone on with a request for so long is evicted.
-const STUCK_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
+/// A connection with a partial request is not closed until this time after the node first wanted to close
+/// it.
+const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The order in which connections are closed, the first first.
+/// The class of a connection for eviction. Connections of the classes listed first are closed first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionPriority {
     Closing,
@@ -23,7 +26,8 @@
 }
 
 impl ConnectionState {
-    /// When it may be evicted; never while a request is on it.
+    /// Returns the class for eviction, or `None` if the connection must not be evicted because a request is
+    /// in progress.
     pub fn eviction_priority(self) -> Option<EvictionPriority> {
         match self {
             ConnectionState::Closing => Some(EvictionPriority::Closing),
@@ -36,8 +40,8 @@
 }
 
 impl ClientConnection {
-    /// Whether it may be closed now, asking the system too. A client that has just connected is about to
-    /// send a request.
+    /// Whether the connection may be closed now: no request is in progress, none is probably about to
+    /// arrive, and the system has no unread bytes of one.
     pub fn may_close(&self) -> bool {
         match self.state() {
             ConnectionState::Serving => false,
@@ -47,13 +51,13 @@
             }
             ConnectionState::Idle => self.socket.quiet(),
             ConnectionState::ReadingRequest => {
-                self.partial_request_seen_for() > STUCK_REQUEST_TIMEOUT && self.socket.quiet()
+                self.partial_request_seen_for() > PARTIAL_REQUEST_TIMEOUT && self.socket.quiet()
             }
         }
     }
 }
 
-/// A connection that may be evicted.
+/// A connection without a request in progress, with the keys by which connections are ordered for eviction.
 struct Evictable<'a> {
     priority: EvictionPriority,
     idle_since: Instant,
@@ -61,7 +65,7 @@
 }
 
 impl Evictable<'_> {
-    /// None for a connection that a request is on.
+    /// Returns `None` if a request is in progress on the connection.
     fn new(client: &Rc<ClientConnection>) -> Option<Evictable<'_>> {
         let priority = client.state().eviction_priority()?;
         Some(Evictable { priority, idle_since: client.idle_since.get(), client })
@@ -69,9 +73,13 @@
 }
 
 impl Frontend {
-    /// Closes one connection to free a descriptor: clients that have sent no request go before those that
-    /// will send another, the oldest first. A client that has just connected may be about to send one. If
-    /// such clients have most of the descriptors, they are waited for, and no usual client is closed for them.
+    /// Asks for the close of one connection to free a descriptor. Connections that have carried no request go
+    /// before those that will probably carry another one, and among equals those that have been idle longest.
+    ///
+    /// A client that has just connected may be about to send a request, so its connection is not closed yet.
+    /// If most connections have carried no request, only they and closing ones are eligible, even if the node
+    /// has to wait until one may be closed. Otherwise, a flood of new connections would displace the
+    /// connections of clients that send requests.
     pub(super) fn evict_one(&self) {
         let clients = self.clients.borrow();
         let mut order: Vec<Evictable<'_>> = clients.values().filter_map(Evictable::new).collect();
@@ -87,13 +95,13 @@
         }
     }
 
-    /// Closes idle connections; with `unfinished_heads` also those with a request head that does not
-    /// progress.
-    pub(super) fn close_idle(&self, unfinished_heads: bool) {
+    /// Asks for the close of all connections that may be closed, and leaves out those with a partial request
+    /// unless `include_partial_requests` is true.
+    pub(super) fn close_idle(&self, include_partial_requests: bool) {
         let clients = self.clients.borrow();
-        let closable = clients
-            .values()
-            .filter(|client| client.may_close() && (unfinished_heads || !client.has_partial_request()));
+        let closable = clients.values().filter(|client| {
+            client.may_close() && (include_partial_requests || !client.has_partial_request())
+        });
         for client in closable {
             client.close_requested.notify_one();
         }
