--- a/src/node/frontend/listener.rs
+++ b/src/node/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! Takes clients' connections.
+//! Accepts clients' connections until the node has stopped and no more of them arrive.
 
 use super::Frontend;
 use super::shutdown::AcceptWindow;
@@ -9,37 +9,38 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// In which the system says whether another connection waits.
-const LAST_ACCEPT_POLL: Duration = Duration::from_millis(5);
+/// The backlog counts as empty if it yields no connection within this time.
+const BACKLOG_ACCEPT_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// What one pass of the accept loop brought.
+/// An event that the accept loop waits for.
 enum AcceptEvent {
     Accepted(Result<TcpStream, AcceptError>),
-    /// SIGTERM has just come.
+    /// The node was told to stop, so the accept window has to be determined again.
     StopRequested,
-    /// No connection comes any more.
-    Over,
+    /// The accept window has closed and the backlog has been emptied.
+    Finished,
 }
 
 impl Frontend {
-    /// Accepts connections until SIGTERM, and then for as long as they still come.
+    /// Accepts connections until the node is told to stop, and then until the accept window has closed and
+    /// the backlog is empty. If another process has taken over by then, the rest is left to that process.
     pub async fn accept(self: &Rc<Self>, acceptor: Acceptor) {
         let mut last_accepted_at = Instant::now();
-        // Connections that came while this task was not polled wait in the backlog, and no more than that
-        // holds.
-        let mut last_polls = CLIENT_BACKLOG;
+        // When the window has closed, connections that arrived while this task was not polled are still in
+        // the backlog. There are at most as many as the backlog holds.
+        let mut backlog_accepts_left = CLIENT_BACKLOG;
         while !self.is_succeeded.get() {
             let window = self.accept_window(last_accepted_at);
-            let accepted = match self.next_event(&acceptor, window, &mut last_polls).await {
+            let accepted = match self.next_event(&acceptor, window, &mut backlog_accepts_left).await {
                 AcceptEvent::Accepted(accepted) => accepted,
                 AcceptEvent::StopRequested => continue,
-                AcceptEvent::Over => return,
+                AcceptEvent::Finished => return,
             };
             match accepted {
                 Ok(stream) => {
                     last_accepted_at = Instant::now();
-                    // If descriptors are scarce this waits for one: others wait in the backlog and are taken
-                    // then.
+                    // If descriptors are scarce, this waits for one. Further connections wait in the backlog
+                    // and are accepted afterwards.
                     let permit = self.descriptors.take_for_client().await;
                     let queued_since = accept_time::first_byte(&stream, acceptor.waited_at_most());
                     self.serve(stream, permit, queued_since);
@@ -52,21 +53,23 @@
         }
     }
 
+    /// Waits for the next event. `backlog_accepts_left` is the number of connections that may still be
+    /// accepted after `window` has closed, and is reduced by each of them.
     async fn next_event(
         &self,
         acceptor: &Acceptor,
         window: AcceptWindow,
-        last_polls: &mut u32,
+        backlog_accepts_left: &mut u32,
     ) -> AcceptEvent {
         tokio::select! {
             accepted = acceptor.accept() => AcceptEvent::Accepted(accepted),
             () = window.closed() => {
-                match tokio::time::timeout(LAST_ACCEPT_POLL, acceptor.accept()).await {
-                    Ok(accepted) if *last_polls > 0 => {
-                        *last_polls -= 1;
+                match tokio::time::timeout(BACKLOG_ACCEPT_TIMEOUT, acceptor.accept()).await {
+                    Ok(accepted) if *backlog_accepts_left > 0 => {
+                        *backlog_accepts_left -= 1;
                         AcceptEvent::Accepted(accepted)
                     }
-                    _ => AcceptEvent::Over,
+                    _ => AcceptEvent::Finished,
                 }
             }
             () = self.stop_requested.notified() => AcceptEvent::StopRequested,
