--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -155,7 +155,8 @@
     async fn run_connection(self: &Rc<Self>, client: &Rc<ClientConnection>, socket: Socket) -> CloseReason {
         let service = service_fn(|request| self.serve_request(request, client));
         let io = TokioIo::new(socket);
-        let connection = http1::Builder::new().max_buf_size(self.buffer).serve_connection(io, service);
+        let connection =
+            http1::Builder::new().max_buf_size(self.max_buffer_bytes).serve_connection(io, service);
         let mut connection = pin!(connection);
         let mut timeouts = TimeoutCheck::new();
         let mut is_evicted = false;
--- a/src/node/frontend/listener.rs
+++ b/src/node/frontend/listener.rs
@@ -29,7 +29,7 @@
         // When the window has closed, connections that arrived while this task was not polled are still in
         // the backlog. There are at most as many as the backlog holds.
         let mut backlog_accepts_left = CLIENT_BACKLOG;
-        while !self.is_succeeded.get() {
+        while !self.has_successor.get() {
             let window = self.accept_window(last_accepted_at);
             let accepted = match self.next_event(&acceptor, window, &mut backlog_accepts_left).await {
                 AcceptEvent::Accepted(accepted) => accepted,
--- a/src/node/frontend/mod.rs
+++ b/src/node/frontend/mod.rs
@@ -1,10 +1,13 @@
-//! The client side: connections, the requests read from them, and the responses.
+//! Serves clients: accepts their connections, reads their requests and sends the responses.
 //!
-//! Clients may be slow, silent or broken, and hold descriptors meanwhile. [`listener`] takes connections,
-//! [`connection`] serves one and closes it in one place, [`eviction`] chooses which goes first when there
-//! is no descriptor for another, and [`request_reader`] rejects what cannot be served before an endpoint
-//! hears of it. [`readiness`] says whether clients are wanted, [`shutdown`] lets what was taken be answered
-//! before the process ends.
+//! Clients may be slow, silent or faulty, and each holds a descriptor meanwhile, of which there are few.
+//! Every accepted request must be answered before the process ends.
+//!
+//! [`listener`] accepts connections. [`connection`] serves one connection and closes it;
+//! [`client_connection`] tracks its state. [`eviction`] chooses which connection is closed if there is no
+//! descriptor for another one. [`request_reader`] rejects invalid requests before they are sent to an
+//! endpoint. [`readiness`] tells whether the node accepts clients and lets operators drain it. [`shutdown`]
+//! ends the frontend after SIGTERM.
 
 mod client_connection;
 mod connection;
@@ -30,50 +33,58 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Time between two lines on what was rejected.
+/// The minimum time between two log lines on rejections.
 const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Part of all descriptors that clients may keep between their requests.
-const KEEP_ALIVE_PART: usize = 4;
+/// If the number of clients that keep their connection alive exceeds the limit of sockets divided by this,
+/// the node closes each connection after its next response.
+const KEEP_ALIVE_DIVISOR: usize = 4;
 
-/// The client side of the node.
+/// The part of the node that serves clients.
 pub struct Frontend {
     driver: Rc<Driver>,
     reader: RequestReader,
     max_open_requests: usize,
-    buffer: usize,
+    /// The maximum size of a connection's buffer, in bytes.
+    max_buffer_bytes: usize,
     descriptors: Rc<Descriptors>,
+    /// The open connections, by the number that each got when it was accepted.
     clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next_client_number: Cell<u64>,
-    /// What was rejected since that was last logged, by the response's text, and clients cut for being
-    /// slow.
+    /// The number of rejections by reason since the last log line on them. The reason of a rejected request
+    /// is the text for its client. Failed accepts and clients disconnected for being slow count, too.
     rejection_counts: RefCell<BTreeMap<&'static str, u32>>,
     rejections_logged_at: Cell<Option<Instant>>,
-    /// What was logged last on whether this process takes clients.
+    /// The readiness that was logged last. `None` if none was logged yet.
     logged_readiness: Cell<Option<Result<(), NotReady>>>,
-    /// Since when the process is to end.
+    /// When the process was told to stop. `None` if it was not.
     stopping_since: Cell<Option<Instant>>,
-    /// Another process takes new connections.
-    is_succeeded: Cell<bool>,
-    /// Since when operators want no clients here.
+    /// Whether another process accepts the new connections. Set when this process is told to stop.
+    has_successor: Cell<bool>,
+    /// When operators drained the node. `None` if it is not drained.
     drained_since: Cell<Option<Instant>>,
+    /// Notifies the accept loop that the process was told to stop.
     stop_requested: Notify,
+    /// Notifies [`Frontend::wind_down`] that a connection was closed.
     client_closed: Notify,
 }
 
 impl Frontend {
-    /// A frontend with no clients yet. `buffer` is what it reads ahead on a connection, in bytes.
+    /// Creates a frontend without clients, and lets `descriptors` evict them.
+    ///
+    /// `max_open_requests` is the number of requests in progress from which on the node rejects further ones.
+    /// `max_buffer_bytes` is the maximum size of a connection's buffer.
     pub fn new(
         driver: Rc<Driver>,
         reader: RequestReader,
         max_open_requests: usize,
-        buffer: usize,
+        max_buffer_bytes: usize,
         descriptors: Rc<Descriptors>,
     ) -> Rc<Frontend> {
         let frontend = Rc::new(Frontend {
             driver,
             reader,
             max_open_requests,
-            buffer,
+            max_buffer_bytes,
             descriptors: descriptors.clone(),
             clients: RefCell::default(),
             next_client_number: Cell::new(0),
@@ -81,7 +92,7 @@
             rejections_logged_at: Cell::new(None),
             logged_readiness: Cell::new(None),
             stopping_since: Cell::new(None),
-            is_succeeded: Cell::new(false),
+            has_successor: Cell::new(false),
             drained_since: Cell::new(None),
             stop_requested: Notify::new(),
             client_closed: Notify::new(),
@@ -91,13 +102,14 @@
             if let Some(frontend) = weak.upgrade() {
                 frontend.evict_one();
             }
-            // The connection closes when its task is polled, not at once.
+            // No descriptor is free yet: the connection is closed when its task is polled.
             false
         }));
         frontend
     }
 
-    /// Counts what no endpoint heard of, and logs it now and then.
+    /// Counts a rejected request, a failed accept or a client that is disconnected for being slow. Logs the
+    /// counts if the last log line on them is old enough.
     fn count_rejection(&self, reason: &'static str) {
         *self.rejection_counts.borrow_mut().entry(reason.trim_end()).or_default() += 1;
         let is_due = |at: Instant| at.elapsed() > REJECTION_LOG_INTERVAL;
@@ -110,11 +122,12 @@
         }
     }
 
-    /// Whether more clients stay than may keep idle connections: those whose requests come now are
-    /// served and go, so that the next find a place.
+    /// Whether too many clients keep their connections alive. If so, each response closes its connection, so
+    /// that there are descriptors for new clients.
     fn exceeds_keep_alive_limit(&self) -> bool {
-        let stays = |client: &&Rc<ClientConnection>| client.has_sent_request() && !client.is_closing();
-        let staying = self.clients.borrow().values().filter(stays).count();
-        staying > self.descriptors.limit() / KEEP_ALIVE_PART
+        let is_kept_alive =
+            |client: &&Rc<ClientConnection>| client.has_sent_request() && !client.is_closing();
+        let kept_alive = self.clients.borrow().values().filter(is_kept_alive).count();
+        kept_alive > self.descriptors.limit() / KEEP_ALIVE_DIVISOR
     }
 }
--- a/src/node/frontend/readiness.rs
+++ b/src/node/frontend/readiness.rs
@@ -1,4 +1,7 @@
-//! Whether the node takes clients, and the operators' commands that change it.
+//! Decides whether the node accepts clients, and carries out the operators' commands `drain` and `resume`.
+//!
+//! A node that stops, is drained or cannot serve any request should get no clients. `/up` and the operators'
+//! command `ready` report the readiness, so that the platform sends clients to other nodes.
 
 use super::Frontend;
 use crate::observability::counters::CounterKind;
@@ -8,23 +11,25 @@
 use thiserror::Error;
 use tokio::task::spawn_local;
 
-/// A drained node leaves so much time to requests that are on their way on connections it has answered on.
-const CLIENT_DRAIN_TIMEOUT: Duration = Duration::from_millis(1000);
-/// How often connections of a drained node are checked.
-const CLIENT_DRAIN_INTERVAL: Duration = Duration::from_millis(100);
+/// A drained node closes no idle connections for this time, so that requests that are already on their way
+/// on them are answered.
+const CLIENT_DRAIN_GRACE: Duration = Duration::from_millis(1000);
+/// The time between two checks for idle connections on a drained node.
+const CLIENT_DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why the node takes no clients.
+/// The reason why the node accepts no clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotReady {
-    /// SIGTERM has come.
+    /// The process was told to stop by SIGTERM.
     Stopping,
-    /// Operators want no clients here.
+    /// Operators have drained the node.
     Drained,
-    /// There is no endpoint in service, or only a list that may be out of date.
+    /// No endpoint can be used, or the endpoint list may be out of date.
     NoEndpoints,
 }
 
 impl NotReady {
+    /// Returns the name in the counters and in the log.
     fn name(self) -> &'static str {
         match self {
             NotReady::Stopping => "stopping",
@@ -34,35 +39,35 @@
     }
 }
 
-/// The process is to end: clients can be neither sent away nor taken again.
+/// A `drain` or `resume` command that came after the process was told to stop, and has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("this process has been told to stop")]
 pub struct Stopping;
 
-/// What a command to drain changed.
+/// The effect of a `drain` command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainChange {
-    /// Clients are sent away from now on.
+    /// The node has begun to send its clients away.
     Drained,
-    /// They were already.
+    /// The node was already drained.
     AlreadyDrained,
 }
 
-/// What a command to resume changed.
+/// The effect of a `resume` command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResumeChange {
-    /// Clients are taken again.
+    /// The node accepts clients again.
     Resumed,
-    /// They were taken all the time.
+    /// The node was not drained, so nothing changed.
     WasNotDrained,
 }
 
 impl Frontend {
-    /// Whether the node takes clients: an endpoint could serve them, and nobody wants them elsewhere. Each
-    /// change is counted and logged.
+    /// Checks whether the node accepts clients. Counts and logs the result if it differs from that of the
+    /// previous call.
     ///
     /// # Errors
-    /// Why it does not.
+    /// The node accepts no clients, for the reason returned.
     pub fn ready(&self) -> Result<(), NotReady> {
         let ready = self.readiness();
         if self.logged_readiness.replace(Some(ready)) != Some(ready) {
@@ -73,6 +78,7 @@
         ready
     }
 
+    /// Determines the readiness without a log line.
     fn readiness(&self) -> Result<(), NotReady> {
         if self.stopping_since.get().is_some() {
             Err(NotReady::Stopping)
@@ -85,10 +91,11 @@
         }
     }
 
-    /// Sends clients away: `/up` says no, every response closes its connection, and idle ones are closed.
+    /// Sends clients away: `/up` reports that the node is not ready, every response closes its connection,
+    /// and idle connections are closed after a grace period.
     ///
     /// # Errors
-    /// The process is to end.
+    /// The process was told to stop.
     pub fn drain(self: &Rc<Self>) -> Result<DrainChange, Stopping> {
         if self.stopping_since.get().is_some() {
             return Err(Stopping);
@@ -102,19 +109,19 @@
         Ok(DrainChange::Drained)
     }
 
-    /// Closes idle connections for as long as the drain that began then lasts. The task ends with it.
+    /// Closes idle connections until the drain that began at `since` ends.
     async fn close_idle_while_drained(self: Rc<Self>, since: Instant) {
-        tokio::time::sleep(CLIENT_DRAIN_TIMEOUT).await;
+        tokio::time::sleep(CLIENT_DRAIN_GRACE).await;
         while self.drained_since.get() == Some(since) {
             self.close_idle(false);
-            tokio::time::sleep(CLIENT_DRAIN_INTERVAL).await;
+            tokio::time::sleep(CLIENT_DRAIN_CHECK_INTERVAL).await;
         }
     }
 
-    /// Takes clients again.
+    /// Ends a drain, so that the node accepts clients again.
     ///
     /// # Errors
-    /// The process is to end.
+    /// The process was told to stop.
     pub fn resume(&self) -> Result<ResumeChange, Stopping> {
         let was_drained = self.drained_since.take().is_some();
         if self.stopping_since.get().is_some() {
--- a/src/node/frontend/shutdown.rs
+++ b/src/node/frontend/shutdown.rs
@@ -51,9 +51,9 @@
 
     /// From now on every response closes its connection. New connections are taken for a while, or not at
     /// all where another process has succeeded this one on the same socket.
-    pub fn stop(&self, is_succeeded: bool) {
+    pub fn stop(&self, has_successor: bool) {
         self.stopping_since.set(Some(Instant::now()));
-        self.is_succeeded.set(is_succeeded);
+        self.has_successor.set(has_successor);
         self.stop_requested.notify_one();
     }
 
