--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -246,9 +246,9 @@
         let mut response = if path == "/api" || path.starts_with("/api/") {
             match self.reader.read(arrival, head, body).await {
                 Ok(parsed) => self.submit(parsed, &client.socket).await?,
-                Err(bad_request) => {
-                    self.count_rejection(bad_request.text());
-                    bad_request.into_response()
+                Err(rejection) => {
+                    self.count_rejection(rejection.text());
+                    rejection.into_response()
                 }
             }
         } else if path == "/up" {
--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -1,7 +1,7 @@
-//! Reads a client's request into what the decisions and an endpoint need, or rejects it.
+//! Reads a client's request for the balancer and for an endpoint, or rejects it.
 //!
-//! What is rejected here costs no endpoint anything and is answered at once. Its connection ends with the
-//! answer: the rest of what such a client sends is not wanted, and may not mean what it seems to.
+//! An invalid request must not reach an endpoint. It is answered at once, and the response closes the
+//! connection, because the rest that the client sends is not needed and could be misread as another request.
 
 use super::responses::{ClientResponse, closing, full};
 use super::trace_ids::{OpenTraceIds, TraceIdGuard};
@@ -27,16 +27,18 @@
 use wheelpath::settings_file::NameIndex;
 use wheelpath::stable_hash::stable_hash;
 
-/// The decisions end a request this long before the client gives up: the client counts from its send, this
-/// node from the arrival, and the response has to travel back.
-const DECISION_MARGIN: Duration = Duration::from_millis(4);
-/// The node ends a request this long before the client gives up, if the decisions have not.
+/// The balancer's deadline for a request is this long before the client gives up. The client counts from the
+/// time at which it sends the request, this node from the time of arrival, and the response has to travel
+/// back.
+const BALANCER_DEADLINE_MARGIN: Duration = Duration::from_millis(4);
+/// The driver fails a request this long before the client gives up, if the balancer has not ended it.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(1);
-/// Upper bound for the deadline of a class, in milliseconds.
+/// The upper bound for the time that a class allows a request, in milliseconds.
 const MAX_DEADLINE_MS: f64 = 6e5;
 
-/// Headers that concern one connection only, or that the node sets itself.
-const CONNECTION_HEADERS: [HeaderName; 8] = [
+/// Headers that the node does not forward: they concern only the client's connection, or the node sets them
+/// itself.
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -47,28 +49,28 @@
     UPGRADE,
 ];
 
-/// Why a request is rejected: the status and text of the response.
+/// The reason to reject a request, as the status and text of the response.
 #[derive(Debug)]
-pub(super) struct BadRequest {
+pub(super) struct RequestRejection {
     status: StatusCode,
     text: &'static str,
 }
 
-impl BadRequest {
-    fn new(status: StatusCode, text: &'static str) -> BadRequest {
-        BadRequest { status, text }
+impl RequestRejection {
+    fn new(status: StatusCode, text: &'static str) -> RequestRejection {
+        RequestRejection { status, text }
     }
 
-    fn malformed(text: &'static str) -> BadRequest {
-        BadRequest::new(StatusCode::BAD_REQUEST, text)
+    fn malformed(text: &'static str) -> RequestRejection {
+        RequestRejection::new(StatusCode::BAD_REQUEST, text)
     }
 
-    /// The text of the response.
+    /// Returns the text, which is also the reason in the log.
     pub fn text(&self) -> &'static str {
         self.text
     }
 
-    /// The response that says so.
+    /// Returns the response to the client. All rejections with status 503 get the response of a full node.
     pub fn into_response(self) -> ClientResponse {
         if self.status == StatusCode::SERVICE_UNAVAILABLE {
             full()
@@ -78,110 +80,125 @@
     }
 }
 
-/// A request as it was read.
+/// A valid request.
 pub(super) struct ParsedRequest {
-    /// What the decisions need.
+    /// The request as the balancer sees it. The driver sets its id and deadline.
     pub request: Request,
-    /// What goes on to an endpoint.
+    /// The request as it is forwarded to an endpoint.
     pub proxied: ProxiedRequest,
-    /// When the decisions must have ended it.
+    /// When the balancer must have ended the request.
     pub deadline: Instant,
-    /// When this node does so without them.
+    /// When the driver fails the request if the balancer has not ended it.
     pub expires_at: Instant,
-    /// Kept for as long as the request is open.
+    /// Reserves the trace id. The caller must keep it until the request ends.
     pub trace_id_guard: TraceIdGuard,
 }
 
-/// When a request came.
+/// The times at which a request arrived.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ArrivalTime {
-    /// Its head was read.
+    /// When the complete head had been read.
     pub head_read_at: Instant,
-    /// Its first byte came, if it waited for this node to take its connection: its client counts from then.
+    /// When the first byte arrived, if the request waited in the accept queue: the client counts its time
+    /// from about then. `None` if the request did not wait noticeably.
     pub queued_since: Option<Instant>,
 }
 
-/// A body as far as it was read, and the memory that it takes.
+/// A complete body, or a streamed body of which the first part has been read.
 struct CollectedBody {
     body: RequestBody,
+    /// One permit per buffered byte. `None` if no byte is buffered.
     memory: Option<OwnedSemaphorePermit>,
 }
 
-/// Why a body was not read.
+/// A failure to read a body.
 enum BodyReadError {
+    /// The bodies of open requests take up the memory reserved for them.
     NoMemory,
+    /// The client disconnected, or the body is not valid HTTP.
     Broken,
+    /// The client sends more slowly than [`MinimumRate`] allows.
     TooSlow,
 }
 
-impl From<BodyReadError> for BadRequest {
-    fn from(error: BodyReadError) -> BadRequest {
+impl From<BodyReadError> for RequestRejection {
+    fn from(error: BodyReadError) -> RequestRejection {
         match error {
             BodyReadError::NoMemory => {
-                BadRequest::new(StatusCode::SERVICE_UNAVAILABLE, "no room for its body\n")
+                RequestRejection::new(StatusCode::SERVICE_UNAVAILABLE, "no memory for the body\n")
             }
-            BodyReadError::Broken => BadRequest::malformed("the body cannot be read\n"),
+            BodyReadError::Broken => RequestRejection::malformed("the body cannot be read\n"),
             BodyReadError::TooSlow => {
-                BadRequest::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time\n")
+                RequestRejection::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time\n")
             }
         }
     }
 }
 
-/// Reads requests.
+/// Reads and checks the requests of all clients.
 pub struct RequestReader {
     names: Rc<NameIndex>,
     classes: Vec<RequestClass>,
     trace_ids: OpenTraceIds,
-    /// Bytes that all bodies together may still take.
-    memory: Arc<Semaphore>,
+    /// One permit per byte that the bodies of all open requests together may still take up.
+    body_memory: Arc<Semaphore>,
 }
 
 impl RequestReader {
-    /// `memory` is what the bodies of all open requests may take, in bytes.
-    pub fn new(names: Rc<NameIndex>, classes: Vec<RequestClass>, memory: usize) -> RequestReader {
-        let memory = Arc::new(Semaphore::new(memory.clamp(MAX_BUFFERED_BODY, Semaphore::MAX_PERMITS)));
-        RequestReader { names, classes, trace_ids: OpenTraceIds::default(), memory }
+    /// Creates a reader for requests of these classes. `body_memory_bytes` is the memory that the buffered
+    /// bodies, and the buffered parts of streamed bodies, of all open requests may take up together. A value
+    /// below [`MAX_BUFFERED_BODY`] counts as [`MAX_BUFFERED_BODY`].
+    pub fn new(
+        names: Rc<NameIndex>,
+        classes: Vec<RequestClass>,
+        body_memory_bytes: usize,
+    ) -> RequestReader {
+        let body_memory =
+            Arc::new(Semaphore::new(body_memory_bytes.clamp(MAX_BUFFERED_BODY, Semaphore::MAX_PERMITS)));
+        RequestReader { names, classes, trace_ids: OpenTraceIds::default(), body_memory }
     }
 
-    /// Reads and checks a request. What is wrong with it is answered here; no endpoint hears of it.
+    /// Reads and checks a request. Returns the rejection if the request is not valid, if its body does not
+    /// arrive, or if there is no memory for the body.
     pub(super) async fn read(
         &self,
         arrival: ArrivalTime,
         head: Parts,
         body: Incoming,
-    ) -> Result<ParsedRequest, BadRequest> {
+    ) -> Result<ParsedRequest, RequestRejection> {
         let trace_id = trace_id(&head)?;
-        let class_index = self.names.class_index(text(&head, headers::CLASS).unwrap_or_default());
+        let class_index = self.names.class_index(header_text(&head, headers::CLASS).unwrap_or_default());
         let class = self.classes.get(class_index);
-        let class = class.ok_or(BadRequest::malformed("X-Qos names no class\n"))?;
+        let class = class.ok_or(RequestRejection::malformed("X-Qos names no class\n"))?;
         let length = body_length(&head)?;
-        check_class_agrees(class, &head, length)?;
-        let wait = client_wait(class, &head)?;
+        check_idempotency(class, &head, length)?;
+        let timeout = client_timeout(class, &head)?;
         if length.is_some_and(|length| length > MAX_BODY as u64) {
-            return Err(BadRequest::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MiB\n"));
+            return Err(RequestRejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MiB\n"));
         }
         let CollectedBody { body, memory } = self.collect(body, length, arrival.head_read_at).await?;
         let is_empty = matches!(&body, RequestBody::Buffered(bytes) if bytes.is_empty());
         if class.idempotency == Idempotency::Idempotent && !is_empty {
-            return Err(BadRequest::malformed("a request that is safe to repeat has no body\n"));
+            return Err(RequestRejection::malformed("a request that is safe to repeat has no body\n"));
         }
-        // The time counts from the last byte: of a body that is streamed, that comes later.
+        // The timeout counts from the last byte of the request, or from its arrival in the accept queue. The
+        // last byte of a streamed body arrives later, and the driver then postpones the expiry accordingly.
         let arrived_at = arrival.queued_since.unwrap_or_else(Instant::now);
-        // A client that withholds its body occupies no id.
-        let trace_id_guard = self.trace_ids.take(trace_id);
-        let conflict = BadRequest::new(StatusCode::CONFLICT, "an open request has this X-Trace-Id\n");
+        // The id is reserved only now, so that a client that withholds its body does not occupy it.
+        let trace_id_guard = self.trace_ids.reserve(trace_id);
+        let conflict = RequestRejection::new(StatusCode::CONFLICT, "an open request has this X-Trace-Id\n");
         Ok(ParsedRequest {
             trace_id_guard: trace_id_guard.ok_or(conflict)?,
-            request: decision_request(&head, class_index, arrived_at),
+            request: balancer_request(&head, class_index, arrived_at),
             proxied: proxied_request(head, body, memory),
-            deadline: arrived_at + wait.saturating_sub(DECISION_MARGIN),
-            expires_at: arrived_at + wait.saturating_sub(EXPIRY_MARGIN),
+            deadline: arrived_at + timeout.saturating_sub(BALANCER_DEADLINE_MARGIN),
+            expires_at: arrived_at + timeout.saturating_sub(EXPIRY_MARGIN),
         })
     }
 
-    /// Reads a complete body, or the first part of one that is too long to be buffered. It takes memory as it
-    /// comes: what is announced but not sent takes none from others.
+    /// Reads a complete body, or the first part of a body that is too long to be buffered. Memory is reserved
+    /// for the bytes received, so that a client that announces a long body and sends nothing takes none from
+    /// others.
     async fn collect(
         &self,
         mut body: Incoming,
@@ -190,45 +207,47 @@
     ) -> Result<CollectedBody, BodyReadError> {
         let mut buffered = BytesMut::new();
         let mut memory: Option<OwnedSemaphorePermit> = None;
-        let rate = MinimumRate::new(begun_at);
-        let mut moved_at = begun_at;
+        let minimum_rate = MinimumRate::new(begun_at);
+        let mut last_data_at = begun_at;
         loop {
-            let deadline = rate.deadline(buffered.len() as u64, moved_at);
+            let deadline = minimum_rate.deadline(buffered.len() as u64, last_data_at);
             let frame = tokio::time::timeout_at(deadline.into(), body.frame()).await;
             let Some(frame) = frame.map_err(|_| BodyReadError::TooSlow)? else {
                 return Ok(CollectedBody { body: RequestBody::Buffered(buffered.freeze()), memory });
             };
-            // Trailers are for this connection alone.
+            // Trailers concern only the client's connection and are not forwarded.
             let Ok(data) = frame.map_err(|_| BodyReadError::Broken)?.into_data() else { continue };
-            moved_at = Instant::now();
-            let more = self.memory.clone().try_acquire_many_owned(data.len() as u32);
-            let more = more.map_err(|_| BodyReadError::NoMemory)?;
+            last_data_at = Instant::now();
+            let permits = self.body_memory.clone().try_acquire_many_owned(data.len() as u32);
+            let permits = permits.map_err(|_| BodyReadError::NoMemory)?;
             match &mut memory {
-                Some(memory) => memory.merge(more),
-                None => memory = Some(more),
+                Some(memory) => memory.merge(permits),
+                None => memory = Some(permits),
             }
             buffered.extend_from_slice(&data);
             let is_complete = length == Some(buffered.len() as u64);
             if buffered.len() > MAX_BUFFERED_BODY && !is_complete {
-                let streamed = StreamedRequestBody::new(buffered.freeze(), body, length, rate);
+                let streamed = StreamedRequestBody::new(buffered.freeze(), body, length, minimum_rate);
                 return Ok(CollectedBody { body: RequestBody::Streamed(streamed), memory });
             }
         }
     }
 }
 
-/// The text of a header, if it is there and is text.
-fn text(head: &Parts, name: HeaderName) -> Option<&str> {
+/// Returns the value of a header. Returns `None` if the header is absent or is not printable ASCII.
+fn header_text(head: &Parts, name: HeaderName) -> Option<&str> {
     head.headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-fn trace_id(head: &Parts) -> Result<HeaderValue, BadRequest> {
+/// Returns the trace id of a request, or rejects a request without one.
+fn trace_id(head: &Parts) -> Result<HeaderValue, RequestRejection> {
     let id = head.headers.get(headers::TRACE_ID).filter(|id| !id.is_empty());
-    id.cloned().ok_or(BadRequest::malformed("X-Trace-Id is missing\n"))
+    id.cloned().ok_or(RequestRejection::malformed("X-Trace-Id is missing\n"))
 }
 
-/// The length of the body; none where it comes in chunks, since only their end shows it.
-fn body_length(head: &Parts) -> Result<Option<u64>, BadRequest> {
+/// Returns the length of the body. Returns `None` for a chunked body, whose length is not known before its
+/// end.
+fn body_length(head: &Parts) -> Result<Option<u64>, RequestRejection> {
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Ok(None);
     }
@@ -236,13 +255,17 @@
         // hyper has already rejected lengths that are not a number.
         Some(length) => Ok(length.to_str().ok().and_then(|length| length.parse().ok())),
         None if head.method == Method::GET => Ok(Some(0)),
-        None => Err(BadRequest::new(StatusCode::LENGTH_REQUIRED, "Content-Length is missing\n")),
+        None => Err(RequestRejection::new(StatusCode::LENGTH_REQUIRED, "Content-Length is missing\n")),
     }
 }
 
-/// The class states how often the request may run; a method that says otherwise is a mistake, and taking it
-/// for either could run something twice.
-fn check_class_agrees(class: &RequestClass, head: &Parts, length: Option<u64>) -> Result<(), BadRequest> {
+/// Checks that the method, the body and the idempotency key of a request agree with the idempotency of its
+/// class. If they do not, one of them is a mistake, and to rely on either could execute a request twice.
+fn check_idempotency(
+    class: &RequestClass,
+    head: &Parts,
+    length: Option<u64>,
+) -> Result<(), RequestRejection> {
     let has_key = head.headers.contains_key(headers::IDEMPOTENCY_KEY);
     let agrees = match class.idempotency {
         Idempotency::Idempotent => head.method == Method::GET && length.is_none_or(|length| length == 0),
@@ -250,45 +273,49 @@
         Idempotency::NotIdempotent => head.method == Method::POST && !has_key,
     };
     let disagreement = "method, body and Idempotency-Key do not agree with the class\n";
-    if agrees { Ok(()) } else { Err(BadRequest::malformed(disagreement)) }
+    if agrees { Ok(()) } else { Err(RequestRejection::malformed(disagreement)) }
 }
 
-/// For how long the client waits: as it says, and no longer than its class allows.
-fn client_wait(class: &RequestClass, head: &Parts) -> Result<Duration, BadRequest> {
-    let class_wait = span(class.deadline_ms, MAX_DEADLINE_MS);
-    let Some(wait) = head.headers.get(headers::TIMEOUT_MS) else { return Ok(class_wait) };
-    let wait_ms = wait.to_str().ok().and_then(|wait| wait.trim().parse().ok());
-    let wait_ms = wait_ms.ok_or(BadRequest::malformed("X-Expires-In-Ms is no number of milliseconds\n"))?;
-    Ok(class_wait.min(Duration::from_millis(wait_ms)))
+/// Returns how long the client waits for the response: the time in its header, up to the time that its class
+/// allows. Without the header, it is the time of the class.
+fn client_timeout(class: &RequestClass, head: &Parts) -> Result<Duration, RequestRejection> {
+    let class_timeout = span(class.deadline_ms, MAX_DEADLINE_MS);
+    let Some(timeout) = head.headers.get(headers::TIMEOUT_MS) else { return Ok(class_timeout) };
+    let timeout_ms = timeout.to_str().ok().and_then(|timeout| timeout.trim().parse().ok());
+    let timeout_ms =
+        timeout_ms.ok_or(RequestRejection::malformed("X-Expires-In-Ms is no number of milliseconds\n"))?;
+    Ok(class_timeout.min(Duration::from_millis(timeout_ms)))
 }
 
-/// What the decisions need of a request; its id and deadline are the driver's to set.
-fn decision_request(head: &Parts, class: usize, arrived_at: Instant) -> Request {
-    let cost_us = text(head, headers::COST_ESTIMATE_US).and_then(|cost| cost.trim().parse::<f64>().ok());
+/// Returns the request as the balancer sees it, with an id and a deadline of 0 that the driver replaces.
+fn balancer_request(head: &Parts, class: usize, arrived_at: Instant) -> Request {
+    let cost_us =
+        header_text(head, headers::COST_ESTIMATE_US).and_then(|cost| cost.trim().parse::<f64>().ok());
     Request {
         id: RequestId(0),
         class,
-        key: text(head, headers::OBJECT).map(stable_hash),
+        key: header_text(head, headers::OBJECT).map(stable_hash),
         deadline_ms: 0.0,
         estimated_cost_ms: cost_us.filter(|cost| cost.is_finite()).map(|cost| cost / 1000.0),
-        is_retry: text(head, headers::FURTHER_TRY) == Some("1"),
+        is_retry: header_text(head, headers::FURTHER_TRY) == Some("1"),
         queued_ms: arrived_at.elapsed().as_secs_f64() * 1000.0,
     }
 }
 
+/// Returns the request as it is forwarded. `memory` holds the permits for the buffered part of `body`.
 fn proxied_request(head: Parts, body: RequestBody, memory: Option<OwnedSemaphorePermit>) -> ProxiedRequest {
     let path = head.uri.path_and_query().cloned();
     ProxiedRequest {
         method: head.method,
         target: path.map_or_else(|| Uri::from_static("/"), Uri::from),
-        headers: without_connection_headers(head.headers),
+        headers: without_hop_by_hop_headers(head.headers),
         body,
         _memory: memory,
     }
 }
 
-fn without_connection_headers(mut headers: HeaderMap) -> HeaderMap {
-    for name in CONNECTION_HEADERS {
+fn without_hop_by_hop_headers(mut headers: HeaderMap) -> HeaderMap {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
     headers
