--- a/src/node/frontend/responses.rs
+++ b/src/node/frontend/responses.rs
@@ -1,4 +1,4 @@
-//! What clients are answered.
+//! Builds the responses to clients.
 
 use crate::driver::Answer;
 use crate::upstream::ResponseBody;
@@ -6,39 +6,39 @@
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// When to come back to a node that is full, in seconds.
-const RETRY_AFTER_WHEN_FULL: &str = "1";
+/// The Retry-After header of a full node, in seconds.
+const FULL_RETRY_AFTER_SECONDS: &str = "1";
 
-/// A response as the client gets it.
+/// A response to a client, with a body that is buffered or streamed from an endpoint.
 pub(super) type ClientResponse = Response<ResponseBody>;
 
-/// A response with a fixed text.
+/// Returns a response with a fixed text as its body.
 pub(super) fn plain(status: StatusCode, text: &'static str) -> ClientResponse {
     let mut response = Response::new(ResponseBody::buffered(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-/// The same, and the end of its connection.
+/// Returns a response with a fixed text as its body, after which the connection is closed.
 pub(super) fn closing(status: StatusCode, text: &'static str) -> ClientResponse {
     let mut response = plain(status, text);
     set_closing(&mut response);
     response
 }
 
-/// Has a response end its connection.
+/// Adds the header that has the connection closed after the response.
 pub(super) fn set_closing(response: &mut ClientResponse) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// This node holds all that it can.
+/// Returns the response of a node that has no capacity for another request.
 pub(super) fn full() -> ClientResponse {
     let mut response = closing(StatusCode::SERVICE_UNAVAILABLE, "full, try again later\n");
-    response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_WHEN_FULL));
+    response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(FULL_RETRY_AFTER_SECONDS));
     response
 }
 
-/// The final answer of a request, as the client sees it.
+/// Returns the response that tells a client the final answer to its request.
 pub(super) fn from_answer(answer: Answer) -> ClientResponse {
     match answer {
         Answer::Served(reply) => {
