--- a/src/node/main.rs
+++ b/src/node/main.rs
@@ -1,7 +1,8 @@
-//! One node: the decisions of the crate `wheelpath` on real sockets.
+//! Runs one node of the load balancer: connects the balancer of the crate `wheelpath` to real sockets.
 //!
-//! The node runs in one thread. [`startup`] wires its parts together; each part says where it starts a task
-//! what ends it, and the end of the process ends those that last as long as the node.
+//! The node runs on a single thread, on which each part of the node may start tasks. [`startup`] creates the
+//! parts and connects them. Where a task is started, a comment says what ends it; tasks that run as long as
+//! the node end with the process.
 
 mod admin;
 mod config;
@@ -24,10 +25,10 @@
 use tokio::task::LocalSet;
 
 fn run() -> Result<(), StartupError> {
-    // Before anything is opened: what is open now was inherited.
-    let inherited = system::inherited_listener::take()?;
+    // This must come before anything is opened, so that all descriptors open at this point are inherited.
+    let inherited_listener = system::inherited_listener::take()?;
     let runtime = Builder::new_current_thread().enable_all().build().map_err(StartupError::Runtime)?;
-    LocalSet::new().block_on(&runtime, startup::run(inherited))
+    LocalSet::new().block_on(&runtime, startup::run(inherited_listener))
 }
 
 fn main() -> ExitCode {
