--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration again on SIGHUP. Where discovery is may change under way; all else holds from
-//! start to end.
+//! Reloads the configuration on SIGHUP. Only the address of discovery can change while the node runs; all
+//! other settings keep the values that they had at the start.
 
 use crate::config::{Config, ConfigError};
 use crate::observability::log;
@@ -9,21 +9,25 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// A file that cannot be read, or is incomplete, may be readable in a moment: so often it is tried, and so
-/// far apart.
+/// The maximum number of attempts to read the configuration. A file that is being replaced may be missing or
+/// incomplete for a moment.
 const READ_ATTEMPTS: u32 = 5;
+/// The pause between two attempts to read the configuration.
 const READ_RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// Runs for as long as the node lives. A file that is wrong changes nothing.
-pub async fn run(mut hangup: SignalReceiver, discovery: watch::Sender<SocketAddr>) {
+/// Reloads the configuration at each SIGHUP and sends the address of discovery to `discovery_address`. An
+/// invalid configuration is logged and changes nothing. Runs as long as the node.
+pub async fn run(mut hangup: SignalReceiver, discovery_address: watch::Sender<SocketAddr>) {
     loop {
         hangup.recv().await;
         match read_with_retries().await {
             Ok(config) => {
-                log::line(&format!("configuration read again: discovery is at {}", config.discovery));
-                discovery.send_replace(config.discovery);
+                log::line(&format!("configuration reloaded: discovery is at {}", config.discovery));
+                discovery_address.send_replace(config.discovery);
+            }
+            Err(error) => {
+                log::line(&format!("configuration not reloaded, keeping the current one: {error}"))
             }
-            Err(error) => log::line(&format!("configuration kept as it was: {error}")),
         }
     }
 }
