--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The maximum number of attempts to read the configuration. A file that is being replaced may be missing or
-/// incomplete for a moment.
+/// The maximum number of attempts to read the configuration. A file that cannot be read or is incomplete may
+/// be complete a moment later.
 const READ_ATTEMPTS: u32 = 5;
 /// The pause between two attempts to read the configuration.
 const READ_RETRY_PAUSE: Duration = Duration::from_millis(40);
