--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -1,4 +1,8 @@
-//! Wires the parts of the node together, and ends them in order.
+//! Starts the node: opens its sockets, creates its parts and connects them. After SIGTERM, ends them in the
+//! order in which every accepted request still gets a response.
+//!
+//! Another process of the same node may run in parallel, if the platform holds the listening socket. The two
+//! share the limits of the configuration and hand over their state through [`Takeover`].
 
 use crate::admin::{self, AdminServer};
 use crate::config::{Config, ConfigError};
@@ -33,85 +37,86 @@
 use wheelpath::policy::{Balancer, RequestClass, Settings, SettingsError, WatchUpdate};
 use wheelpath::settings_file::NameIndex;
 
-/// Part of the memory that the bodies of open requests may take, and that the connections' buffers may.
-const BODY_MEMORY_PART: usize = 4;
-const BUFFER_MEMORY_PART: usize = 4;
-/// What a connection may read ahead, in bytes: a head must fit, and no more than a body is of use.
-const MIN_BUFFER: usize = 8 * 1024;
-const MAX_BUFFER: usize = 64 * 1024;
-/// How often idle connections to endpoints are swept, and the wall clock is observed.
+/// The memory limit of the process divided by this is the limit for the bodies of open requests.
+const BODY_MEMORY_DIVISOR: usize = 4;
+/// The memory limit of the process divided by this is the limit for the buffers of all connections together.
+const BUFFER_MEMORY_DIVISOR: usize = 4;
+/// The minimum size of a connection's buffer, in bytes. A request head must fit.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
+/// The maximum size of a connection's buffer, in bytes. No buffered body is longer, so more would be of no
+/// use.
+const MAX_BUFFER_BYTES: usize = 64 * 1024;
+/// The time between two sweeps of idle connections to endpoints and observations of the wall clock.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// SIGKILL follows SIGTERM by the longest deadline, this at most, in milliseconds, and 0.7 s.
+/// The upper bound of the longest class deadline for the shutdown, in milliseconds. SIGKILL follows SIGTERM
+/// after the longest class deadline, at most this, plus 0.7 s.
 const MAX_SHUTDOWN_DEADLINE_MS: f64 = 3000.0;
-/// What has no answer shortly before that is failed ...
+/// The time beyond the longest deadline for which the node waits for responses after SIGTERM. Then it fails
+/// the requests that are still open, because SIGKILL is near.
 const SHUTDOWN_ANSWER_TIME: Duration = Duration::from_millis(400);
-/// ... and these failures are written in this time.
+/// The time for which the node then waits until the responses to the failed requests are written.
 const SHUTDOWN_WRITE_TIME: Duration = Duration::from_millis(100);
 
-/// Why the node does not start.
+/// A failure to start the node.
 #[derive(Debug, Error)]
 pub enum StartupError {
-    /// The listening socket that is to be inherited cannot be.
+    /// The environment names a listening socket to inherit, but the socket cannot be used.
     #[error(transparent)]
     Inherited(#[from] InheritedListenerError),
-    /// There is no runtime.
-    #[error("no runtime: {0}")]
+    /// The tokio runtime cannot be created.
+    #[error("cannot create the async runtime: {0}")]
     Runtime(io::Error),
-    /// Signals cannot be received.
-    #[error("signals: {0}")]
+    /// The signal handlers cannot be registered.
+    #[error("cannot register signal handlers: {0}")]
     Signals(io::Error),
-    /// The configuration is wrong.
+    /// The configuration cannot be read or is not valid.
     #[error("configuration: {0}")]
     Config(#[from] ConfigError),
-    /// The node cannot listen at an address of its configuration.
+    /// The node cannot listen on an address. `key` is the configuration key of the address.
     #[error("{key}: {address}: {cause}")]
-    Listen {
-        /// The key that names the address.
-        key: &'static str,
-        /// The address.
-        address: SocketAddr,
-        /// Why.
-        cause: io::Error,
-    },
-    /// No balancer can run on the settings.
+    Listen { key: &'static str, address: SocketAddr, cause: io::Error },
+    /// The balancer does not accept the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// The sockets that the node listens on.
+/// The sockets on which the node receives connections and datagrams.
 struct Sockets {
     clients: TcpListener,
-    /// Since when the clients' socket listens; none where it was inherited, and requests may have waited
-    /// before.
+    /// When this process began to listen for clients. `None` if it inherited the socket: connections may have
+    /// waited there before the process started.
     listening_since: Option<Instant>,
+    /// `None` if the configuration has no address for operators.
     admin: Option<TcpListener>,
+    /// `None` if the configuration has no address for peers or the settings forbid messages to them.
     peers: Option<Rc<PeerSocket>>,
 }
 
-/// What the process may use.
+/// The limits of this process.
 struct Resources {
     descriptors: Rc<Descriptors>,
-    /// What a connection may read ahead, in bytes.
-    buffer: usize,
-    /// What the bodies of open requests may take, in bytes.
-    body_memory: usize,
+    /// The maximum size of a connection's buffer, in bytes.
+    max_buffer_bytes: usize,
+    /// The memory for the bodies of all open requests, in bytes.
+    body_memory_bytes: usize,
 }
 
-/// Runs the node until SIGTERM, and until what it had taken is answered.
+/// Runs the node until SIGTERM, and then until the requests that it has accepted are answered or have no time
+/// left.
 ///
 /// # Errors
 /// The node cannot start.
-pub async fn run(inherited: Option<std::net::TcpListener>) -> Result<(), StartupError> {
-    // Before all else: what these signals do by default is to end the process.
+pub async fn run(inherited_listener: Option<std::net::TcpListener>) -> Result<(), StartupError> {
+    // The handlers come first, because the default action of both signals ends the process.
     let mut terminate = retry_transient(SignalReceiver::terminate).await.map_err(StartupError::Signals)?;
     let hangup = retry_transient(SignalReceiver::hangup).await.map_err(StartupError::Signals)?;
     let config = Config::load()?;
-    // Where the platform holds the listening socket, another process may serve in parallel.
-    let is_shared = inherited.is_some();
-    let sockets = open_sockets(&config, inherited).await?;
-    let resources = allot_resources(&config, is_shared);
+    // If the platform holds the listening socket, another process may serve on it in parallel.
+    let is_listener_shared = inherited_listener.is_some();
+    let sockets = open_sockets(&config, inherited_listener).await?;
+    let resources = divide_resources(&config, is_listener_shared);
     let longest_deadline = longest_deadline(&config.settings.classes);
-    let node = Node::start(config, sockets, resources, is_shared, hangup)?;
+    let node = Node::start(config, sockets, resources, is_listener_shared, hangup)?;
     terminate.recv().await;
     node.stop(longest_deadline).await;
     Ok(())
@@ -119,10 +124,10 @@
 
 async fn open_sockets(
     config: &Config,
-    inherited: Option<std::net::TcpListener>,
+    inherited_listener: Option<std::net::TcpListener>,
 ) -> Result<Sockets, StartupError> {
-    let listening_since = inherited.is_none().then(Instant::now);
-    let clients = match inherited {
+    let listening_since = inherited_listener.is_none().then(Instant::now);
+    let clients = match inherited_listener {
         Some(listener) => TcpListener::from_std(listener),
         None => retry_transient(|| listen(config.listen, CLIENT_BACKLOG)).await,
     };
@@ -137,8 +142,8 @@
     };
     let peers = match config.peer_listen.filter(|_| config.settings.peer_messages_allowed) {
         Some(address) => {
-            let is_shared = listening_since.is_none();
-            let bind = || PeerSocket::bind(address, is_shared, peer_addresses(config));
+            let is_listener_shared = listening_since.is_none();
+            let bind = || PeerSocket::bind(address, is_listener_shared, peer_addresses(config));
             let bound = retry_transient(bind).await;
             Some(Rc::new(bound.map_err(listen_error("peer_listen", address))?))
         }
@@ -159,23 +164,25 @@
     }
 }
 
-/// Two processes together may use no more than one.
-fn allot_resources(config: &Config, is_shared: bool) -> Resources {
-    let processes = if is_shared { 2 } else { 1 };
+/// Returns the limits of this process. If the listener is shared, the process gets half of the configured
+/// limits, because a second process may run in parallel and the limits apply to both together.
+fn divide_resources(config: &Config, is_listener_shared: bool) -> Resources {
+    let processes = if is_listener_shared { 2 } else { 1 };
     let memory = config.memory_bytes / processes;
-    // Descriptors beyond what the system allows are of no use: clients would take the last of them from all
-    // others.
+    // With a limit above that of the system, clients could take the last descriptors from all other uses.
     let system_limit = descriptors::system_limit().unwrap_or(usize::MAX);
-    let sockets = (config.max_descriptors / processes).min(system_limit);
-    // Operators find a place whatever clients hold.
-    let for_admin = if config.admin_listen.is_some() { admin::MAX_CONNECTIONS + 1 } else { 0 };
+    let max_descriptors = (config.max_descriptors / processes).min(system_limit);
+    // These descriptors are reserved so that operators can connect however many clients are connected.
+    let admin_descriptors = if config.admin_listen.is_some() { admin::MAX_CONNECTIONS + 1 } else { 0 };
     Resources {
-        descriptors: Descriptors::new(sockets.saturating_sub(for_admin)),
-        buffer: (memory / BUFFER_MEMORY_PART / sockets.max(1)).clamp(MIN_BUFFER, MAX_BUFFER),
-        body_memory: memory / BODY_MEMORY_PART,
+        descriptors: Descriptors::new(max_descriptors.saturating_sub(admin_descriptors)),
+        max_buffer_bytes: (memory / BUFFER_MEMORY_DIVISOR / max_descriptors.max(1))
+            .clamp(MIN_BUFFER_BYTES, MAX_BUFFER_BYTES),
+        body_memory_bytes: memory / BODY_MEMORY_DIVISOR,
     }
 }
 
+/// Returns the longest deadline of all classes, limited for the shutdown.
 fn longest_deadline(classes: &[RequestClass]) -> Duration {
     let longest_ms = classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
     span(longest_ms, MAX_SHUTDOWN_DEADLINE_MS)
@@ -186,8 +193,8 @@
     driver: Rc<Driver>,
     frontend: Rc<Frontend>,
     takeover: Option<Rc<Takeover>>,
-    /// The task that takes clients' connections.
-    accepting: JoinHandle<()>,
+    /// The task that accepts clients' connections.
+    accept_task: JoinHandle<()>,
 }
 
 impl Node {
@@ -195,22 +202,22 @@
         config: Config,
         sockets: Sockets,
         resources: Resources,
-        is_shared: bool,
+        is_listener_shared: bool,
         hangup: SignalReceiver,
     ) -> Result<Node, StartupError> {
-        let Resources { descriptors, buffer, body_memory } = resources;
+        let Resources { descriptors, max_buffer_bytes, body_memory_bytes } = resources;
         let settings = config.settings.clone();
-        let upstream = open_upstream(&settings, descriptors.clone(), buffer);
+        let upstream = open_upstream(&settings, descriptors.clone(), max_buffer_bytes);
         let guard = InvariantGuard::new(&settings);
         let balancer = Balancer::new(config.settings, config.seed)?;
         let (request_watch, watch_requests) = mpsc::unbounded_channel();
         let driver = Driver::new(balancer, guard, upstream.clone(), sockets.peers.clone(), request_watch);
         let names = Rc::new(config.names);
         driver.take(DriverEvent::Start);
-        let version = Rc::new(Cell::new(report_known_list(&driver, &config.cached_endpoint_list, &names)));
-        let takeover = is_shared.then(|| Takeover::new(version.clone()));
+        let version = Rc::new(Cell::new(apply_cached_list(&driver, &config.cached_endpoint_list, &names)));
+        let takeover = is_listener_shared.then(|| Takeover::new(version.clone()));
         let is_behind = takeover.as_ref().is_some_and(|takeover| take_over(takeover, &driver));
-        let (discovery, address) = watch::channel(config.discovery);
+        let (discovery_address, address) = watch::channel(config.discovery);
         let watch = DiscoveryWatch::new(WatchSetup {
             address,
             mode: settings.discovery,
@@ -221,11 +228,17 @@
             is_behind,
             rng: fastrand::Rng::with_seed(!config.seed),
         });
-        spawn_background_tasks(&driver, watch, reload::run(hangup, discovery), upstream, sockets.peers);
-        let reader = RequestReader::new(names, settings.classes, body_memory);
+        spawn_background_tasks(
+            &driver,
+            watch,
+            reload::run(hangup, discovery_address),
+            upstream,
+            sockets.peers,
+        );
+        let reader = RequestReader::new(names, settings.classes, body_memory_bytes);
         let max_open_requests = settings.max_open_requests as usize;
         let frontend =
-            Frontend::new(driver.clone(), reader, max_open_requests, buffer, descriptors.clone());
+            Frontend::new(driver.clone(), reader, max_open_requests, max_buffer_bytes, descriptors.clone());
         if let Some(listener) = sockets.admin {
             let takeover = takeover.clone();
             let admin = AdminServer::new(driver.clone(), frontend.clone(), takeover, descriptors);
@@ -234,23 +247,27 @@
         log_start(&config.name, config.listen, config.admin_listen, &sockets.clients);
         let acceptor = Acceptor::new(sockets.clients, sockets.listening_since);
         let accepting_frontend = frontend.clone();
-        let accepting = spawn_local(async move { accepting_frontend.accept(acceptor).await });
-        Ok(Node { driver, frontend, takeover, accepting })
+        let accept_task = spawn_local(async move { accepting_frontend.accept(acceptor).await });
+        Ok(Node { driver, frontend, takeover, accept_task })
     }
 
-    /// Ends the node: what was taken is answered, as far as there is time, and the rest is failed.
+    /// Stops the node: waits for the responses to accepted requests as long as time allows, and fails the
+    /// rest.
     async fn stop(self, longest_deadline: Duration) {
-        let Node { driver, frontend, takeover, accepting } = self;
-        let is_succeeded = takeover.is_some_and(|takeover| takeover.is_succeeded());
-        let new_connections =
-            if is_succeeded { "a successor takes new connections" } else { "answers what comes" };
-        log::line(&format!("told to stop: {new_connections}; answers what is there, then ends"));
-        let end = Instant::now() + longest_deadline + SHUTDOWN_ANSWER_TIME;
-        frontend.stop(is_succeeded);
-        // Whatever became of the accept loop, what was taken is answered.
-        let _ = tokio::time::timeout_at(end.into(), accepting).await;
-        frontend.wind_down(end).await;
-        // Better failed than lost: what is still open would be cut by the end of the process.
+        let Node { driver, frontend, takeover, accept_task } = self;
+        let has_successor = takeover.is_some_and(|takeover| takeover.is_succeeded());
+        let new_connections = if has_successor {
+            "a successor takes new connections"
+        } else {
+            "accepting connections that still arrive"
+        };
+        log::line(&format!("told to stop: {new_connections}; answering open requests before the exit"));
+        let answer_deadline = Instant::now() + longest_deadline + SHUTDOWN_ANSWER_TIME;
+        frontend.stop(has_successor);
+        // Even if the accept loop has failed or has not ended in time, accepted requests must be answered.
+        let _ = tokio::time::timeout_at(answer_deadline.into(), accept_task).await;
+        frontend.wind_down(answer_deadline).await;
+        // A failure response is better than a connection that the end of the process cuts.
         driver.fail_pending();
         frontend.wind_down(Instant::now() + SHUTDOWN_WRITE_TIME).await;
         driver.count_unanswered();
@@ -258,7 +275,7 @@
     }
 }
 
-/// Starts the tasks that last as long as the node and end with the process.
+/// Starts tasks that run as long as the node and end with the process.
 fn spawn_background_tasks(
     driver: &Rc<Driver>,
     watch: DiscoveryWatch,
@@ -276,34 +293,39 @@
 
 fn log_start(name: &str, configured: SocketAddr, admin: Option<SocketAddr>, clients: &TcpListener) {
     let address = clients.local_addr().unwrap_or(configured);
-    let admin = admin.map_or_else(String::new, |address| format!(", takes calls on {address}"));
-    log::line(&format!("{name} serves on {address}{admin}"));
+    let admin = admin.map_or_else(String::new, |address| format!(", for operators on {address}"));
+    log::line(&format!("{name} listens for clients on {address}{admin}"));
 }
 
-fn open_upstream(settings: &Settings, descriptors: Rc<Descriptors>, buffer: usize) -> Rc<Upstream> {
+fn open_upstream(
+    settings: &Settings,
+    descriptors: Rc<Descriptors>,
+    max_buffer_bytes: usize,
+) -> Rc<Upstream> {
     let connect_timeout_ms = settings.connect_timeout_ms;
-    Upstream::new(descriptors, connect_timeout_ms, settings.idle_connection_timeout_ms, buffer)
+    Upstream::new(descriptors, connect_timeout_ms, settings.idle_connection_timeout_ms, max_buffer_bytes)
 }
 
-/// Reports to the decisions the list that the node starts with; its version, if changes alone tell the
-/// rest.
-fn report_known_list(driver: &Rc<Driver>, known: &Value, names: &NameIndex) -> Option<u64> {
-    let known = EndpointList::parse(known, names);
-    let version = known.as_ref().and_then(EndpointList::base_version);
-    let endpoints = known.map_or_else(Vec::new, |known| known.endpoints);
+/// Passes the cached endpoint list, which may be absent, to the driver. Returns the version of the list if
+/// deltas from that version on are enough to bring the list up to date.
+fn apply_cached_list(driver: &Rc<Driver>, cached_list: &Value, names: &NameIndex) -> Option<u64> {
+    let list = EndpointList::parse(cached_list, names);
+    let version = list.as_ref().and_then(EndpointList::base_version);
+    let endpoints = list.map_or_else(Vec::new, |list| list.endpoints);
     driver.take(DriverEvent::EndpointsChanged { update: WatchUpdate::CachedSnapshot, endpoints });
     version
 }
 
-/// Takes over from the process before this one, and starts the task that keeps in step with one alongside
-/// it for as long as the node lives. True if the process before knew a newer list.
+/// Takes over the state of the previous process, and starts the task that keeps this process in step with
+/// another one that runs in parallel. The task runs as long as the node. Returns whether the previous process
+/// had a newer endpoint list.
 fn take_over(takeover: &Rc<Takeover>, driver: &Rc<Driver>) -> bool {
     let is_behind = takeover.take_over(driver);
     spawn_local(takeover.clone().run(driver.clone()));
     is_behind
 }
 
-/// Hands messages of other nodes on.
+/// Passes the messages of other nodes to the driver.
 async fn listen_to_peers(peers: Rc<PeerSocket>, driver: Rc<Driver>) {
     loop {
         let message = peers.receive().await;
@@ -311,12 +333,13 @@
     }
 }
 
-/// Closes stale idle connections and observes the wall clock, now and then.
+/// Closes connections to endpoints that have been idle for too long or that their endpoint has closed, and
+/// observes the wall clock, both every [`SWEEP_INTERVAL`].
 async fn sweep(upstream: Rc<Upstream>, driver: Rc<Driver>) {
-    let mut turns = tokio::time::interval(SWEEP_INTERVAL);
-    turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticks = tokio::time::interval(SWEEP_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        turns.tick().await;
+        ticks.tick().await;
         upstream.sweep();
         driver.clock.observe_wall();
     }
