--- a/src/node/frontend/eviction.rs
+++ b/src/node/frontend/eviction.rs
@@ -16,7 +16,7 @@
 /// it.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The class of a connection for eviction. Connections of the classes listed first are closed first.
+/// The order in which connections are evicted, from the first variant to the last.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionPriority {
     Closing,
@@ -26,8 +26,8 @@
 }
 
 impl ConnectionState {
-    /// Returns the class for eviction, or `None` if the connection must not be evicted because a request is
-    /// in progress.
+    /// Returns the eviction priority. Returns `None` if the connection must not be evicted because a request
+    /// is in progress.
     pub fn eviction_priority(self) -> Option<EvictionPriority> {
         match self {
             ConnectionState::Closing => Some(EvictionPriority::Closing),
