--- a/src/node/snapshot/takeover.rs
+++ b/src/node/snapshot/takeover.rs
@@ -140,7 +140,7 @@
 
     /// Writes the process record, unless another process has taken over.
     fn write_record_if_serving(&self, driver: &Driver) {
-        if !self.is_succeeded() {
+        if !self.has_successor() {
             self.write_record(driver);
         }
     }
@@ -265,7 +265,7 @@
     }
 
     /// Whether another process has taken over and runs.
-    pub fn is_succeeded(&self) -> bool {
+    pub fn has_successor(&self) -> bool {
         self.serving_process().is_some_and(|process| self.is_successor(process))
     }
 
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -255,7 +255,7 @@
     /// rest.
     async fn stop(self, longest_deadline: Duration) {
         let Node { driver, frontend, takeover, accept_task } = self;
-        let has_successor = takeover.is_some_and(|takeover| takeover.is_succeeded());
+        let has_successor = takeover.is_some_and(|takeover| takeover.has_successor());
         let new_connections = if has_successor {
             "a successor takes new connections"
         } else {
