--- a/src/node/driver/attempt.rs
+++ b/src/node/driver/attempt.rs
@@ -85,14 +85,14 @@
         }
         let Some(address) = core.endpoints.address(endpoint) else { return };
         report.result = None;
-        let begun_at = report.counts_from;
+        let started_at = report.counts_from;
         let attempt = Attempt {
             endpoint,
             address,
             proxied: open.proxied.clone(),
-            until: begun_at + span(timeout_ms, MAX_SPAN_MS),
-            begin_by: begun_at + span(begin_within_ms, MAX_SPAN_MS),
-            begun_at,
+            deadline: started_at + span(timeout_ms, MAX_SPAN_MS),
+            send_by: started_at + span(begin_within_ms, MAX_SPAN_MS),
+            started_at,
         };
         spawn_local(run_attempt(attempt, report, cancelled));
     }
@@ -120,7 +120,7 @@
             Err(WithheldReason::RequestOver)
         } else if !is_routable {
             Err(WithheldReason::EndpointWithdrawn)
-        } else if Instant::now() >= attempt.begin_by {
+        } else if Instant::now() >= attempt.send_by {
             Err(WithheldReason::RepeatTooLate)
         } else {
             Ok(())
@@ -164,7 +164,7 @@
     cancelled: &mut oneshot::Receiver<()>,
 ) -> AttemptEnd {
     let id = report.id;
-    let mut sent = pin!(driver.upstream.attempt(attempt, || driver.still_wanted(id, attempt)));
+    let mut sent = pin!(driver.upstream.send_attempt(attempt, || driver.still_wanted(id, attempt)));
     let body_complete = async {
         match attempt.proxied.body_complete().await {
             Some(at) => {
@@ -179,7 +179,7 @@
         tokio::select! {
             biased;
             _ = &mut *cancelled => return AttemptEnd::Complete(AttemptOutcome::Cancelled.into(), None),
-            at = &mut body_complete, if report.counts_from == attempt.begun_at => report.counts_from = at,
+            at = &mut body_complete, if report.counts_from == attempt.started_at => report.counts_from = at,
             end = &mut sent => return end,
         }
     }
--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -276,7 +276,7 @@
     /// A streamed response has begun: the request is answered with it.
     fn response_started(&mut self, response: AttemptResponse) -> Option<Event> {
         let AttemptResponse { id, attempt, endpoint, result, elapsed_ms } = response;
-        let reply = result.reply?;
+        let reply = result.response?;
         self.requests.get(id).filter(|open| open.awaits_answer())?;
         self.requests.respond(id, Answer::Served(reply), RequestEnding::Served);
         Some(Event::ResponseStarted { id, attempt, endpoint, elapsed_ms })
@@ -292,7 +292,7 @@
         }
         self.counters.count(CounterKind::Attempt, outcome.name());
         let awaits_answer = open.awaits_answer();
-        let reply = result.reply.filter(|_| awaits_answer);
+        let reply = result.response.filter(|_| awaits_answer);
         let request_finished = !awaits_answer || reply.is_some();
         match reply {
             Some(reply) => self.requests.respond(id, Answer::Served(reply), RequestEnding::Served),
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -183,7 +183,7 @@
             if response.body().is_streamed() {
                 client.socket.limit_unsent();
             }
-            response.body_mut().hold(in_progress);
+            response.body_mut().hold_until_end(in_progress);
             Ok(response)
         }
     }
--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -271,7 +271,7 @@
         key: text(head, headers::OBJECT).map(stable_hash),
         deadline_ms: 0.0,
         estimated_cost_ms: cost_us.filter(|cost| cost.is_finite()).map(|cost| cost / 1000.0),
-        is_retry: text(head, headers::FURTHER_TRY) == Some("1"),
+        is_retry: text(head, headers::CLIENT_RETRY) == Some("1"),
         queued_ms: arrived_at.elapsed().as_secs_f64() * 1000.0,
     }
 }
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -29,21 +29,21 @@
     pub address: SocketAddr,
     /// What to send.
     pub proxied: Rc<ProxiedRequest>,
-    /// When to stop waiting. With a streamed body, this moves by the time from `begun_at` to the body's
+    /// When to stop waiting. With a streamed body, this moves by the time from `started_at` to the body's
     /// end.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Until when its first byte may go out.
-    pub begin_by: Instant,
+    pub send_by: Instant,
     /// When it was decided on.
-    pub begun_at: Instant,
+    pub started_at: Instant,
 }
 
 impl Attempt {
     /// Waits until the attempt's time is over.
     async fn overdue(&self) {
         let complete_at = self.proxied.body_complete().await;
-        let delay = complete_at.map_or(Duration::ZERO, |at| at.saturating_duration_since(self.begun_at));
-        tokio::time::sleep_until((self.until + delay).into()).await;
+        let delay = complete_at.map_or(Duration::ZERO, |at| at.saturating_duration_since(self.started_at));
+        tokio::time::sleep_until((self.deadline + delay).into()).await;
     }
 }
 
@@ -60,14 +60,14 @@
     /// How it ended.
     pub outcome: AttemptOutcome,
     /// The response, if it was answered.
-    pub reply: Option<UpstreamResponse>,
+    pub response: Option<UpstreamResponse>,
     /// The load report, if there was one.
     pub load: LoadReport,
 }
 
 impl From<AttemptOutcome> for AttemptResult {
     fn from(outcome: AttemptOutcome) -> AttemptResult {
-        AttemptResult { outcome, reply: None, load: LoadReport::default() }
+        AttemptResult { outcome, response: None, load: LoadReport::default() }
     }
 }
 
@@ -100,13 +100,13 @@
 impl Upstream {
     /// Sends one attempt and waits for its end, or for a streamed response's beginning. `still_wanted`
     /// checks, once there is a connection, that the attempt may still begin.
-    pub async fn attempt(
+    pub async fn send_attempt(
         &self,
         attempt: &Attempt,
         still_wanted: impl Fn() -> Result<(), WithheldReason>,
     ) -> AttemptEnd {
-        let Attempt { endpoint, address, until, begin_by, .. } = *attempt;
-        let wanted = ConnectionRequest { endpoint, address, until, begin_by };
+        let Attempt { endpoint, address, deadline, send_by, .. } = *attempt;
+        let wanted = ConnectionRequest { endpoint, address, deadline, send_by };
         let PooledConnection { mut connection, idle_for } = match self.connection(wanted).await {
             Ok(found) => found,
             Err(outcome) => return AttemptEnd::without_response(outcome),
@@ -145,7 +145,7 @@
     attempt: &Attempt,
     connection: &mut UpstreamConnection,
 ) -> Option<Result<ReceivedResponse, ExchangeError>> {
-    let time_left = attempt.until.saturating_duration_since(Instant::now());
+    let time_left = attempt.deadline.saturating_duration_since(Instant::now());
     let request = attempt.proxied.to_endpoint(attempt.address, time_left);
     let socket = connection.socket.clone();
     let overdue = async {
@@ -235,16 +235,16 @@
 fn result_of(head: &Parts, body: ResponseBody) -> AttemptResult {
     let header = |name: HeaderName| head.headers.get(name).and_then(|value| value.to_str().ok());
     let load = header(headers::LOAD_REPORT).map(load_report_text::parse_header).unwrap_or_default();
-    let never_ran = header(headers::NEVER_RAN) == Some("1");
+    let not_executed = header(headers::NOT_EXECUTED) == Some("1");
     let outcome = match head.status {
         StatusCode::OK => AttemptOutcome::Answered,
         // The only proof that an endpoint gives; any other status may have run.
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_executed => {
             AttemptOutcome::Rejected
         }
         _ => AttemptOutcome::ErrorResponse,
     };
     let content_type = head.headers.get(CONTENT_TYPE).cloned();
-    let reply = (outcome == AttemptOutcome::Answered).then_some(UpstreamResponse { body, content_type });
-    AttemptResult { outcome, reply, load }
+    let response = (outcome == AttemptOutcome::Answered).then_some(UpstreamResponse { body, content_type });
+    AttemptResult { outcome, response, load }
 }
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -39,9 +39,9 @@
     pub endpoint: EndpointId,
     pub address: SocketAddr,
     /// When the attempt is over.
-    pub until: Instant,
+    pub deadline: Instant,
     /// When the attempt must have begun.
-    pub begin_by: Instant,
+    pub send_by: Instant,
 }
 
 /// The connections to endpoints.
@@ -142,21 +142,21 @@
         &self,
         wanted: ConnectionRequest,
     ) -> Result<PooledConnection, AttemptOutcome> {
-        let ConnectionRequest { endpoint, address, until, begin_by } = wanted;
+        let ConnectionRequest { endpoint, address, deadline, send_by } = wanted;
         if let Some(IdleConnection { connection, since }) = self.take_idle(endpoint) {
             return Ok(PooledConnection { connection, idle_for: Some(since.elapsed()) });
         }
         let time_left = || {
-            let until_due = until.min(begin_by).saturating_duration_since(Instant::now());
+            let until_due = deadline.min(send_by).saturating_duration_since(Instant::now());
             self.connect_timeout.min(until_due)
         };
         let permit = tokio::time::timeout(time_left(), self.descriptors.take()).await;
         let permit = permit.map_err(|_| AttemptOutcome::NotSent)?;
-        let deadline = Instant::now() + time_left();
-        match UpstreamConnection::open(address, deadline, permit, self.buffer).await {
+        let connect_by = Instant::now() + time_left();
+        match UpstreamConnection::open(address, connect_by, permit, self.buffer).await {
             Ok(connection) => Ok(PooledConnection { connection, idle_for: None }),
             Err(ConnectError::Local(_)) => Err(AttemptOutcome::NotSent),
-            Err(ConnectError::TimedOut) if Instant::now() >= begin_by => Err(AttemptOutcome::NotSent),
+            Err(ConnectError::TimedOut) if Instant::now() >= send_by => Err(AttemptOutcome::NotSent),
             Err(ConnectError::TimedOut | ConnectError::Remote(_)) => Err(AttemptOutcome::ConnectFailed),
         }
     }
--- a/src/node/upstream/response_body.rs
+++ b/src/node/upstream/response_body.rs
@@ -156,7 +156,7 @@
 
     /// Keeps `held` until a streamed response has ended; drops it at once where there is nothing to wait
     /// for.
-    pub fn hold(&mut self, held: impl Any) {
+    pub fn hold_until_end(&mut self, held: impl Any) {
         if let ResponseBody::Streamed(body) = self {
             body.held = Some(Box::new(held));
         }
