--- a/src/node/headers.rs
+++ b/src/node/headers.rs
@@ -1,22 +1,29 @@
-//! The names of the protocol's HTTP headers.
+//! Names the HTTP headers that clients, this node and endpoints exchange.
 
 use hyper::header::HeaderName;
 
-/// The id that a client gives a request.
+/// Request header, required: the id that the client assigns to the request. Log lines identify the request
+/// by this id.
 pub const TRACE_ID: HeaderName = HeaderName::from_static("x-trace-id");
-/// The class of a request.
+/// Request header, required: the name of the request's class in the settings.
 pub const CLASS: HeaderName = HeaderName::from_static("x-qos");
-/// The object that a request is about, whose hash is its key.
+/// Request header, optional: the object that the request is about. The hash of this value is the request's
+/// key; requests with the same key go to the same endpoints if possible.
 pub const OBJECT: HeaderName = HeaderName::from_static("x-object");
-/// How long the sender will wait for the answer, in milliseconds.
+/// Request header: for how long the sender waits for the response, in milliseconds. Optional from clients,
+/// where the limit of the request's class applies if the header is absent; always set by the node on
+/// requests to endpoints.
 pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("x-expires-in-ms");
-/// A client's estimate of a request's work, in microseconds.
+/// Request header, optional: the client's estimate of the processor time that the request needs, in
+/// microseconds.
 pub const COST_ESTIMATE_US: HeaderName = HeaderName::from_static("x-size-hint");
-/// Set to 1 by clients on a further try.
+/// Request header, optional: `1` if the client has sent the same request before.
 pub const CLIENT_RETRY: HeaderName = HeaderName::from_static("x-second-try");
-/// By this key endpoints drop repeats of a request.
+/// Request header: the idempotency key, by which endpoints recognize and drop repeats of a request. It is
+/// required for classes that have a deduplication window, and not allowed for classes whose requests must
+/// not be executed more than once.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Set to 1 by an endpoint that rejected a request without running it.
+/// Response header, optional: `1` if the endpoint rejected the request without executing it.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-never-ran");
-/// An endpoint's report of its load.
+/// Response header, optional: the endpoint's load report.
 pub const LOAD_REPORT: HeaderName = HeaderName::from_static("endpoint-load-metrics");
