--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -1,4 +1,9 @@
-//! One attempt: what is sent, what came back, and what that proves.
+//! Sends one attempt to an endpoint and determines its outcome.
+//!
+//! Whether a failed request may be sent again depends on whether the endpoint may have executed it. The
+//! outcome therefore states what an attempt proves: from the bytes that were written and read on the
+//! connection, from the part of the request's body that was sent, and from the status and headers of the
+//! response.
 
 use super::connection::{ExchangeError, ReceivedResponse, UpstreamConnection};
 use super::pool::{ConnectionRequest, PooledConnection, Upstream};
@@ -18,50 +23,50 @@
 use wheelpath::load_report_text;
 use wheelpath::policy::{AttemptOutcome, EndpointId, LoadReport};
 
-/// Time in which bytes that the system already holds are read.
-const LAST_READ_TIME: Duration = Duration::from_millis(1);
+/// For how long an overdue attempt still reads response bytes that the kernel received before the deadline.
+const OVERDUE_READ_TIME: Duration = Duration::from_millis(1);
 
-/// One attempt: what is sent, where, and for how long it is waited for.
+/// One attempt to send a request to an endpoint.
 pub struct Attempt {
-    /// Which endpoint.
+    /// The endpoint that is to execute the request.
     pub endpoint: EndpointId,
-    /// Where that listens.
+    /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// What to send.
+    /// The request to send. Several attempts may share it.
     pub proxied: Rc<ProxiedRequest>,
-    /// When to stop waiting. With a streamed body, this moves by the time from `started_at` to the body's
-    /// end.
+    /// The time at which the node stops waiting for the response. If the request's body is streamed, the
+    /// deadline moves by the time from `started_at` to the end of the body.
     pub deadline: Instant,
-    /// Until when its first byte may go out.
+    /// The latest time at which the first byte of the request may be sent.
     pub send_by: Instant,
-    /// When it was decided on.
+    /// The time at which the driver started the attempt, before the node connects.
     pub started_at: Instant,
 }
 
 impl Attempt {
-    /// Waits until the attempt's time is over.
-    async fn overdue(&self) {
+    /// Waits until the deadline of the attempt has passed.
+    async fn wait_until_overdue(&self) {
         let complete_at = self.proxied.body_complete().await;
         let delay = complete_at.map_or(Duration::ZERO, |at| at.saturating_duration_since(self.started_at));
         tokio::time::sleep_until((self.deadline + delay).into()).await;
     }
 }
 
-/// An endpoint's response.
+/// The part of an endpoint's response that goes to the client.
 pub struct UpstreamResponse {
-    /// Its body.
+    /// The buffered or streamed body.
     pub body: ResponseBody,
-    /// What kind of body that is, if known.
+    /// The `Content-Type` header. `None` if the response has none.
     pub content_type: Option<HeaderValue>,
 }
 
-/// What an attempt brought.
+/// The outcome of an attempt, and what the node received from the endpoint.
 pub struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended. For a streamed response, the outcome so far.
     pub outcome: AttemptOutcome,
-    /// The response, if it was answered.
+    /// The response. `None` unless the outcome is [`AttemptOutcome::Answered`].
     pub response: Option<UpstreamResponse>,
-    /// The load report, if there was one.
+    /// The load report of the response. All its figures are absent if there was no report.
     pub load: LoadReport,
 }
 
@@ -71,11 +76,12 @@
     }
 }
 
-/// What becomes of an attempt.
+/// The state in which [`Upstream::send_attempt`] leaves an attempt.
 pub enum AttemptEnd {
-    /// It is over; a connection that may be kept comes back.
+    /// The attempt is over. Holds the connection if it may be usable for another request.
     Complete(AttemptResult, Option<UpstreamConnection>),
-    /// A streamed response has begun. Its end is reported later, or not at all where the client leaves.
+    /// A streamed response has begun. The receiver yields its end, or an error if the client disconnects
+    /// before.
     Streaming(AttemptResult, oneshot::Receiver<StreamEnd>),
 }
 
@@ -85,53 +91,55 @@
     }
 }
 
-/// What a connection had carried before an attempt, in bytes.
-struct Carried {
+/// The total numbers of bytes that a connection has read and written.
+struct ByteCounts {
     read: u64,
     written: u64,
 }
 
-impl Carried {
-    fn by(connection: &UpstreamConnection) -> Carried {
-        Carried { read: connection.socket.read(), written: connection.socket.written() }
+impl ByteCounts {
+    fn of(connection: &UpstreamConnection) -> ByteCounts {
+        ByteCounts { read: connection.socket.read(), written: connection.socket.written() }
     }
 }
 
 impl Upstream {
-    /// Sends one attempt and waits for its end, or for a streamed response's beginning. `still_wanted`
-    /// checks, once there is a connection, that the attempt may still begin.
+    /// Sends one attempt and waits for its end, or for the beginning of a streamed response.
+    ///
+    /// Calls `check_before_send` once a connection is available. If that returns an error, nothing is sent.
     pub async fn send_attempt(
         &self,
         attempt: &Attempt,
-        still_wanted: impl Fn() -> Result<(), WithheldReason>,
+        check_before_send: impl Fn() -> Result<(), WithheldReason>,
     ) -> AttemptEnd {
         let Attempt { endpoint, address, deadline, send_by, .. } = *attempt;
-        let wanted = ConnectionRequest { endpoint, address, deadline, send_by };
-        let PooledConnection { mut connection, idle_for } = match self.connection(wanted).await {
-            Ok(found) => found,
+        let connection_request = ConnectionRequest { endpoint, address, deadline, send_by };
+        let pooled = self.acquire_connection(connection_request).await;
+        let PooledConnection { mut connection, idle_for } = match pooled {
+            Ok(pooled) => pooled,
             Err(outcome) => return AttemptEnd::without_response(outcome),
         };
-        // Connecting took time: the endpoint may have been drained meanwhile, or the deduplication window
-        // may be over.
-        if let Err(reason) = still_wanted() {
-            return AttemptEnd::without_response(outcome_of_withheld(reason));
+        // Connecting takes time: meanwhile the endpoint may have been drained, or the deduplication window
+        // may have ended.
+        if let Err(reason) = check_before_send() {
+            return AttemptEnd::without_response(outcome_of_withheld_attempt(reason));
         }
-        let before = Carried::by(&connection);
-        let received = exchange(attempt, &mut connection).await;
-        // Silence says nothing about the connection.
+        let bytes_before = ByteCounts::of(&connection);
+        let received = exchange_until_overdue(attempt, &mut connection).await;
+        // A missing response does not show whether the connection was intact, so it is not recorded.
         if let Some(received) = &received {
             let is_broken = matches!(received, Err(ExchangeError::Broken(_)));
-            self.record_use(idle_for, is_broken && connection.socket.read() == before.read);
+            self.record_use(idle_for, is_broken && connection.socket.read() == bytes_before.read);
         }
         let error = match received {
             Some(Ok(response)) => return end_of_response(response, connection),
             Some(Err(error)) => error,
             None => {
-                let outcome = outcome_of_silence(attempt, &connection, &before);
+                let outcome = outcome_without_response(attempt, &connection, &bytes_before);
                 return AttemptEnd::without_response(outcome);
             }
         };
-        let outcome = outcome_of_error(attempt, &connection, &before, &error);
+        let outcome = outcome_of_error(attempt, &connection, &bytes_before, &error);
         if outcome == AttemptOutcome::ConnectionReset {
             self.close_idle(endpoint);
         }
@@ -139,9 +147,9 @@
     }
 }
 
-/// Sends the request and waits for the response, until the attempt is overdue or the request's body stalls;
-/// none then.
-async fn exchange(
+/// Sends the request and waits for the response. Returns `None` if the attempt is overdue or the request's
+/// body stalls.
+async fn exchange_until_overdue(
     attempt: &Attempt,
     connection: &mut UpstreamConnection,
 ) -> Option<Result<ReceivedResponse, ExchangeError>> {
@@ -149,10 +157,10 @@
     let request = attempt.proxied.to_endpoint(attempt.address, time_left);
     let socket = connection.socket.clone();
     let overdue = async {
-        attempt.overdue().await;
-        // Bytes that the system has by then came in time, even if this task is polled late.
+        attempt.wait_until_overdue().await;
+        // Bytes that the kernel holds by now arrived in time, even if this task is polled late.
         if !socket.quiet() {
-            tokio::time::sleep(LAST_READ_TIME).await;
+            tokio::time::sleep(OVERDUE_READ_TIME).await;
         }
     };
     tokio::select! {
@@ -163,82 +171,84 @@
     }
 }
 
-/// How an attempt counts that was withheld after its connection was made.
-fn outcome_of_withheld(reason: WithheldReason) -> AttemptOutcome {
+/// Returns the outcome of an attempt that was withheld after a connection was available.
+fn outcome_of_withheld_attempt(reason: WithheldReason) -> AttemptOutcome {
     match reason {
-        // The request may go to another endpoint.
+        // The request may still be sent to another endpoint.
         WithheldReason::EndpointWithdrawn => AttemptOutcome::ConnectFailed,
         _ => AttemptOutcome::NotSent,
     }
 }
 
-/// What the silence of an endpoint proves.
-fn outcome_of_silence(
+/// Returns the outcome of an attempt for which no complete response came in time.
+fn outcome_without_response(
     attempt: &Attempt,
     connection: &UpstreamConnection,
-    before: &Carried,
+    bytes_before: &ByteCounts,
 ) -> AttemptOutcome {
     if attempt.proxied.incomplete_body().is_some() {
-        // An endpoint runs nothing before the last byte: neither the client's fault nor its own.
+        // An endpoint executes nothing before it has received the last byte, so the request did not run.
+        // `NotSent` blames neither the client nor the endpoint for the delay.
         AttemptOutcome::NotSent
-    } else if connection.socket.written() == before.written {
+    } else if connection.socket.written() == bytes_before.written {
         AttemptOutcome::ConnectFailed
-    } else if connection.socket.read() == before.read {
+    } else if connection.socket.read() == bytes_before.read {
         AttemptOutcome::TimedOut
     } else {
-        // An endpoint that says anything at all is not silent.
+        // Part of a response came, so the endpoint is not unresponsive, as `TimedOut` would state.
         AttemptOutcome::ErrorResponse
     }
 }
 
-/// What a broken connection, or a response that cannot be read, proves.
+/// Returns the outcome of an attempt whose connection broke or whose response is malformed.
 fn outcome_of_error(
     attempt: &Attempt,
     connection: &UpstreamConnection,
-    before: &Carried,
+    bytes_before: &ByteCounts,
     error: &ExchangeError,
 ) -> AttemptOutcome {
     let incomplete = attempt.proxied.incomplete_body();
-    if incomplete.is_some_and(|body| body.is_broken()) {
+    if incomplete.is_some_and(|body| body.has_failed()) {
         return AttemptOutcome::NotSent;
     }
-    // Not one byte of it left this node, or not the last one: it never ran.
-    if incomplete.is_some() || connection.socket.written() == before.written {
+    // No byte of the request left this node, or the last one did not: the request did not run.
+    if incomplete.is_some() || connection.socket.written() == bytes_before.written {
         return AttemptOutcome::ConnectFailed;
     }
-    // What was written may have run.
+    // Bytes of the request were written, so it may have run.
     match error {
         ExchangeError::Malformed => AttemptOutcome::ErrorResponse,
         ExchangeError::Broken(_) => AttemptOutcome::ConnectionReset,
     }
 }
 
-/// A buffered response ends the attempt; a longer one is streamed to the client.
+/// Ends the attempt if the response is buffered completely; streams a longer response to the client.
 fn end_of_response(response: ReceivedResponse, connection: UpstreamConnection) -> AttemptEnd {
-    let ReceivedResponse { head, first, rest } = response;
+    let ReceivedResponse { head, prefix, rest } = response;
     match rest {
-        None => AttemptEnd::Complete(result_of(&head, ResponseBody::buffered(first)), Some(connection)),
-        Some(rest) => begin_stream(connection, &head, first, rest),
+        None => AttemptEnd::Complete(result_of(&head, ResponseBody::buffered(prefix)), Some(connection)),
+        Some(rest) => begin_stream(connection, &head, prefix, rest),
     }
 }
 
-fn begin_stream(connection: UpstreamConnection, head: &Parts, first: Bytes, rest: Incoming) -> AttemptEnd {
+fn begin_stream(connection: UpstreamConnection, head: &Parts, prefix: Bytes, rest: Incoming) -> AttemptEnd {
     if head.status != StatusCode::OK {
-        // Nobody wants the rest of it.
+        // Only the body of a response with status 200 goes to the client. Dropping the connection discards
+        // the rest of this one.
         return AttemptEnd::Complete(result_of(head, ResponseBody::buffered(Bytes::new())), None);
     }
-    let (body, end) = StreamedResponseBody::new(connection, first, rest);
+    let (body, end) = StreamedResponseBody::new(connection, prefix, rest);
     AttemptEnd::Streaming(result_of(head, ResponseBody::Streamed(Box::new(body))), end)
 }
 
-/// What the head of a response says.
+/// Derives the result of an attempt from the head of its response.
 fn result_of(head: &Parts, body: ResponseBody) -> AttemptResult {
     let header = |name: HeaderName| head.headers.get(name).and_then(|value| value.to_str().ok());
     let load = header(headers::LOAD_REPORT).map(load_report_text::parse_header).unwrap_or_default();
     let not_executed = header(headers::NOT_EXECUTED) == Some("1");
     let outcome = match head.status {
         StatusCode::OK => AttemptOutcome::Answered,
-        // The only proof that an endpoint gives; any other status may have run.
+        // Only these responses prove that the request did not run; with any other status it may have run.
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_executed => {
             AttemptOutcome::Rejected
         }
--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -51,7 +51,7 @@
 /// A response: its head, its body as far as it is buffered, and the rest if there is one.
 pub(super) struct ReceivedResponse {
     pub head: Parts,
-    pub first: Bytes,
+    pub prefix: Bytes,
     pub rest: Option<Incoming>,
 }
 
@@ -142,7 +142,7 @@
     ) -> Result<ReceivedResponse, ExchangeError> {
         let (head, mut body) = self.send(request, MAX_BODY).await?.into_parts();
         let first = self.first_part(&mut body).await?;
-        Ok(ReceivedResponse { head, first: first.bytes, rest: Some(body).filter(|_| !first.is_complete) })
+        Ok(ReceivedResponse { head, prefix: first.bytes, rest: Some(body).filter(|_| !first.is_complete) })
     }
 
     /// Reads a body to its end, or as far as it is buffered and for as long as it is waited for.
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -138,7 +138,7 @@
     /// # Errors
     /// The outcome of the attempt. If this node has no descriptor for a connection, or the connection is
     /// made too late to begin, the outcome is `NotSent`: `ConnectFailed` would count against the endpoints.
-    pub(super) async fn connection(
+    pub(super) async fn acquire_connection(
         &self,
         wanted: ConnectionRequest,
     ) -> Result<PooledConnection, AttemptOutcome> {
--- a/src/node/upstream/request_body.rs
+++ b/src/node/upstream/request_body.rs
@@ -57,7 +57,7 @@
 
     /// Whether it can be sent, for the first time or again.
     pub fn is_sendable(&self) -> bool {
-        self.streamed_body().is_none_or(|body| !body.is_spent.get() && !body.is_broken.get())
+        self.streamed_body().is_none_or(|body| !body.is_spent.get() && !body.has_failed.get())
     }
 
     /// Waits until the complete request has been passed on, and returns when that was; none for a buffered
@@ -138,7 +138,7 @@
     /// Bytes have been passed on that are not kept.
     is_spent: Cell<bool>,
     /// The client's side of it ended before the body did.
-    is_broken: Cell<bool>,
+    has_failed: Cell<bool>,
     completed_at: Cell<Option<Instant>>,
     completed: Notify,
 }
@@ -159,15 +159,15 @@
             passed_bytes: Cell::new(0),
             moved_at: Cell::new(Instant::now()),
             is_spent: Cell::new(false),
-            is_broken: Cell::new(false),
+            has_failed: Cell::new(false),
             completed_at: Cell::new(None),
             completed: Notify::new(),
         })
     }
 
     /// Whether the client's side of it ended before the body did.
-    pub(super) fn is_broken(&self) -> bool {
-        self.is_broken.get()
+    pub(super) fn has_failed(&self) -> bool {
+        self.has_failed.get()
     }
 
     fn record_passed(&self, bytes: usize) {
@@ -228,7 +228,7 @@
                     }
                 },
             };
-            self.is_broken.set(true);
+            self.has_failed.set(true);
             return Poll::Ready(Some(Err(error)));
         }
     }
