--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -1,4 +1,6 @@
-//! One connection to an endpoint or to discovery.
+//! Sends requests on one connection to an endpoint or to discovery, and reads the responses.
+//!
+//! A connection has no task of its own: it reads and writes only while a request is in progress on it.
 
 use super::request_body::UpstreamBody;
 use super::{MAX_BODY, MAX_BUFFERED_BODY};
@@ -22,108 +24,125 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// A short response of which nothing more comes for this time counts as never complete.
-const SHORT_RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(200);
-/// A response of unknown length is passed on from then on: it may be a long one.
+/// If no data of a response body arrives for this time while the body is buffered, the response counts as
+/// one that will never be complete.
+const BUFFERED_BODY_STALL_TIMEOUT: Duration = Duration::from_millis(200);
+/// A response of unknown length is buffered for at most this time. After that, it is streamed to the
+/// client, since it may be a long one.
 const UNKNOWN_LENGTH_BUFFER_TIME: Duration = Duration::from_millis(100);
 
-/// Why there is no complete response.
+/// The reason why an exchange brought no complete response.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// The connection broke or ended.
+    /// The connection broke, or the other side closed it, before the response was complete.
     #[error("the connection broke: {0}")]
     Broken(hyper::Error),
-    /// Something came that is no response. The sender is there, and may have run the request.
-    #[error("what came is no answer")]
+    /// The response is not valid HTTP, is too long, or stalled before its end. The other side is reachable,
+    /// and may have executed the request.
+    #[error("the response is malformed, too long or incomplete")]
     Malformed,
 }
 
 impl From<hyper::Error> for ExchangeError {
     fn from(error: hyper::Error) -> ExchangeError {
-        // In a body, what is no chunk comes as an error of reading.
-        let reading = error.source().and_then(|source| source.downcast_ref::<io::Error>());
-        let is_garbled =
-            reading.is_some_and(|e| matches!(e.kind(), ErrorKind::InvalidInput | ErrorKind::InvalidData));
-        if error.is_parse() || is_garbled { ExchangeError::Malformed } else { ExchangeError::Broken(error) }
+        // hyper reports an invalid chunk in a body as an I/O error, not as a parse error.
+        let io_error = error.source().and_then(|source| source.downcast_ref::<io::Error>());
+        let has_invalid_chunk =
+            io_error.is_some_and(|e| matches!(e.kind(), ErrorKind::InvalidInput | ErrorKind::InvalidData));
+        if error.is_parse() || has_invalid_chunk {
+            ExchangeError::Malformed
+        } else {
+            ExchangeError::Broken(error)
+        }
     }
 }
 
-/// A response: its head, its body as far as it is buffered, and the rest if there is one.
+/// A response of an endpoint, with the part of the body that has been buffered.
 pub(super) struct ReceivedResponse {
     pub head: Parts,
     pub prefix: Bytes,
+    /// The part of the body behind `prefix`. `None` if `prefix` is the complete body.
     pub rest: Option<Incoming>,
 }
 
-/// The first part of a body, and whether that is all of it.
-struct FirstPart {
+/// The buffered first part of a response body.
+struct BodyPrefix {
     bytes: Bytes,
+    /// Whether the prefix is the complete body.
     is_complete: bool,
 }
 
 type HttpConnection = Pin<Box<Connection<TokioIo<Socket>, UpstreamBody>>>;
 
-/// A connection whose reading and writing happen only while somebody exchanges on it: nothing is left
-/// running behind an idle one, and dropping it closes the socket at once.
+/// An HTTP/1.1 connection that reads and writes only while a caller awaits one of its methods or polls it.
+///
+/// No task runs for an idle connection, so dropping the connection closes the socket at once.
 pub struct UpstreamConnection {
     sender: SendRequest<UpstreamBody>,
+    /// hyper's side of the connection, which does the I/O. `None` once it has ended.
     connection: Option<HttpConnection>,
     pub(super) socket: Socket,
 }
 
 impl UpstreamConnection {
-    /// Connects by `deadline`. `buffer` is what it reads ahead, in bytes.
+    /// Connects by `deadline`. The connection reads ahead up to `read_buffer_bytes` bytes.
     ///
     /// # Errors
-    /// No connection was made in time, or this machine could not begin one.
+    /// Returns an error if the connection is refused or is not established in time, or if this machine
+    /// cannot start one.
     pub async fn open(
         address: SocketAddr,
         deadline: Instant,
         permit: DescriptorPermit,
-        buffer: usize,
+        read_buffer_bytes: usize,
     ) -> Result<UpstreamConnection, ConnectError> {
         let socket = Socket::new(connect::connect(address, deadline).await?, permit);
         let io = TokioIo::new(socket.clone());
-        let handshake = http1::Builder::new().max_buf_size(buffer).handshake(io).await;
+        let handshake = http1::Builder::new().max_buf_size(read_buffer_bytes).handshake(io).await;
         let (sender, connection) =
             handshake.map_err(|error| ConnectError::Remote(io::Error::other(error)))?;
         Ok(UpstreamConnection { sender, connection: Some(Box::pin(connection)), socket })
     }
 
-    /// Runs `wanted` together with the connection's own reading and writing.
-    async fn drive<F: Future>(connection: &mut Option<HttpConnection>, wanted: F) -> F::Output {
-        let mut wanted = pin!(wanted);
+    /// Runs `operation` to its end while the connection reads and writes.
+    async fn drive<F: Future>(connection: &mut Option<HttpConnection>, operation: F) -> F::Output {
+        let mut operation = pin!(operation);
         poll_fn(|cx| {
-            if let Poll::Ready(value) = wanted.as_mut().poll(cx) {
+            if let Poll::Ready(value) = operation.as_mut().poll(cx) {
                 return Poll::Ready(value);
             }
-            UpstreamConnection::poll(connection, cx);
-            wanted.as_mut().poll(cx)
+            UpstreamConnection::poll_connection(connection, cx);
+            operation.as_mut().poll(cx)
         })
         .await
     }
 
-    fn poll(connection: &mut Option<HttpConnection>, cx: &mut Context<'_>) {
+    fn poll_connection(connection: &mut Option<HttpConnection>, cx: &mut Context<'_>) {
         if connection.as_mut().is_some_and(|connection| connection.as_mut().poll(cx).is_ready()) {
             *connection = None;
         }
     }
 
-    /// Lets the connection read and write what it can. At the end of a response it sees that it is ready
-    /// for the next, or that more came than belongs to it.
-    pub(super) fn turn(&mut self, cx: &mut Context<'_>) {
-        UpstreamConnection::poll(&mut self.connection, cx);
+    /// Reads and writes as much as is possible without waiting.
+    ///
+    /// After the end of a response, the connection becomes ready for the next request by this call, or
+    /// notices that bytes beyond the response have arrived.
+    pub(super) fn poll_io(&mut self, cx: &mut Context<'_>) {
+        UpstreamConnection::poll_connection(&mut self.connection, cx);
     }
 
-    async fn turn_once(&mut self) {
+    async fn poll_io_once(&mut self) {
         poll_fn(|cx| {
-            self.turn(cx);
+            self.poll_io(cx);
             Poll::Ready(())
         })
         .await;
     }
 
-    /// Sends one request and reads the head of its response, whose body may hold `max_body` bytes.
+    /// Sends one request and reads the head of its response.
+    ///
+    /// Returns an error if the end of the body is ambiguous, or if its announced length is over `max_body`
+    /// bytes.
     async fn send(
         &mut self,
         request: Request<UpstreamBody>,
@@ -135,45 +154,52 @@
         Ok(response)
     }
 
-    /// Sends one request and reads its response, as far as that is buffered.
+    /// Sends one request, reads the head of its response, and buffers the body or its first part.
     pub(super) async fn request(
         &mut self,
         request: Request<UpstreamBody>,
     ) -> Result<ReceivedResponse, ExchangeError> {
         let (head, mut body) = self.send(request, MAX_BODY).await?.into_parts();
-        let first = self.first_part(&mut body).await?;
-        Ok(ReceivedResponse { head, prefix: first.bytes, rest: Some(body).filter(|_| !first.is_complete) })
+        let prefix = self.read_prefix(&mut body).await?;
+        Ok(ReceivedResponse {
+            head,
+            prefix: prefix.bytes,
+            rest: Some(body).filter(|_| !prefix.is_complete),
+        })
     }
 
-    /// Reads a body to its end, or as far as it is buffered and for as long as it is waited for.
-    async fn first_part(&mut self, body: &mut Incoming) -> Result<FirstPart, ExchangeError> {
+    /// Buffers a body of up to [`MAX_BUFFERED_BODY`] bytes to its end.
+    ///
+    /// Returns an incomplete prefix, which may be empty, if the body is longer, or if its length is unknown
+    /// and it has not ended within [`UNKNOWN_LENGTH_BUFFER_TIME`].
+    async fn read_prefix(&mut self, body: &mut Incoming) -> Result<BodyPrefix, ExchangeError> {
         let has_unknown_length = body.size_hint().exact().is_none();
         if body.size_hint().lower() > MAX_BUFFERED_BODY as u64 {
-            return Ok(FirstPart { bytes: Bytes::new(), is_complete: false });
+            return Ok(BodyPrefix { bytes: Bytes::new(), is_complete: false });
         }
         let begun_at = Instant::now();
         let mut buffered = BytesMut::new();
         loop {
             let frame = UpstreamConnection::drive(&mut self.connection, body.frame());
-            let frame = tokio::time::timeout(SHORT_RESPONSE_STALL_TIMEOUT, frame).await;
+            let frame = tokio::time::timeout(BUFFERED_BODY_STALL_TIMEOUT, frame).await;
             let Some(frame) = frame.map_err(|_| ExchangeError::Malformed)? else { break };
             if let Ok(data) = frame?.into_data() {
                 buffered.extend_from_slice(&data);
             }
-            let is_late = has_unknown_length && begun_at.elapsed() > UNKNOWN_LENGTH_BUFFER_TIME;
-            if buffered.len() > MAX_BUFFERED_BODY || is_late {
-                return Ok(FirstPart { bytes: buffered.freeze(), is_complete: false });
+            let is_buffer_time_over = has_unknown_length && begun_at.elapsed() > UNKNOWN_LENGTH_BUFFER_TIME;
+            if buffered.len() > MAX_BUFFERED_BODY || is_buffer_time_over {
+                return Ok(BodyPrefix { bytes: buffered.freeze(), is_complete: false });
             }
         }
-        self.turn_once().await;
-        Ok(FirstPart { bytes: buffered.freeze(), is_complete: true })
+        self.poll_io_once().await;
+        Ok(BodyPrefix { bytes: buffered.freeze(), is_complete: true })
     }
 
-    /// Sends one request and reads its complete response, with a body of `max_body` bytes at most, which is
-    /// there within `body_timeout` after the head.
+    /// Sends one request and reads its complete response.
     ///
     /// # Errors
-    /// The connection broke, or what came is no complete response.
+    /// Returns an error if the connection breaks, if the response is malformed, if its body is longer than
+    /// `max_body` bytes, or if the body is not complete within `body_timeout` after the head.
     pub async fn exchange(
         &mut self,
         request: Request<UpstreamBody>,
@@ -182,35 +208,39 @@
     ) -> Result<Response<Bytes>, ExchangeError> {
         let (head, body) = self.send(request, max_body).await?.into_parts();
         let limited = Limited::<Incoming>::new(body, max_body);
-        let whole = UpstreamConnection::drive(&mut self.connection, limited.collect());
-        let body = match tokio::time::timeout(body_timeout, whole).await {
+        let complete_body = UpstreamConnection::drive(&mut self.connection, limited.collect());
+        let body = match tokio::time::timeout(body_timeout, complete_body).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) => {
-                let broken = error.downcast::<hyper::Error>();
-                return Err(broken.map_or(ExchangeError::Malformed, |error| (*error).into()));
+                let hyper_error = error.downcast::<hyper::Error>();
+                return Err(hyper_error.map_or(ExchangeError::Malformed, |error| (*error).into()));
             }
             Err(_) => return Err(ExchangeError::Malformed),
         };
-        self.turn_once().await;
+        self.poll_io_once().await;
         Ok(Response::from_parts(head, body))
     }
 
-    /// Open at both ends and with nothing unread, which would be its close.
+    /// Returns whether the connection is open at both ends and has nothing to read. On an idle connection,
+    /// that would be the other side's close or bytes that belong to no response.
     pub fn is_alive(&self) -> bool {
         self.connection.is_some() && !self.sender.is_closed() && self.socket.quiet()
     }
 
-    /// Ready for another request.
+    /// Returns whether the previous response has ended and the connection can send the next request.
     pub(super) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 }
 
-/// Whether the end of a response is recognizable: by a length within the limit, or chunks, or the
-/// connection's end, and not both of the first.
+/// Checks that the end of a response's body is unambiguous, and that its announced length is within the
+/// limit.
+///
+/// The end is given by `Content-Length`, by `Transfer-Encoding`, or by the end of the connection. A
+/// response with both headers is malformed unless it has no body.
 fn check_framing(headers: &HeaderMap, body: &Incoming, max_body: usize) -> Result<(), ExchangeError> {
-    let has_both = headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH);
-    let is_framed = !has_both || body.size_hint().exact() == Some(0);
+    let has_both_headers = headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH);
+    let has_unambiguous_end = !has_both_headers || body.size_hint().exact() == Some(0);
     let fits = body.size_hint().lower() <= max_body as u64;
-    if is_framed && fits { Ok(()) } else { Err(ExchangeError::Malformed) }
+    if has_unambiguous_end && fits { Ok(()) } else { Err(ExchangeError::Malformed) }
 }
--- a/src/node/upstream/response_body.rs
+++ b/src/node/upstream/response_body.rs
@@ -77,7 +77,7 @@
     fn finish(&mut self, cx: &mut Context<'_>) {
         if let Some(connection) = &mut self.connection {
             // The connection sees that the response is over and is ready for the next.
-            connection.turn(cx);
+            connection.poll_io(cx);
         }
         self.end(AttemptOutcome::Answered);
     }
@@ -88,7 +88,7 @@
             let mut frame = Pin::new(&mut self.rest).poll_frame(cx);
             if frame.is_pending() {
                 if let Some(connection) = &mut self.connection {
-                    connection.turn(cx);
+                    connection.poll_io(cx);
                 }
                 frame = Pin::new(&mut self.rest).poll_frame(cx);
             }
