--- a/src/node/upstream/idle_age.rs
+++ b/src/node/upstream/idle_age.rs
@@ -1,96 +1,115 @@
-//! Up to what age idle connections are good, learned from what became of requests on them.
+//! Estimates the idle age up to which connections to endpoints can be reused.
 //!
-//! An endpoint, or something on the way to it, may drop idle connections sooner than the settings say and
-//! without a word: what is written on one is reset unread, and a request that may not be repeated is lost.
-//! Counted by age, such an age shows, also one that changes, since evidence fades; one that few endpoints
-//! have is taken for all. It costs a handshake for each connection that is not used again, so the rule
-//! wastes handshakes where connections break for another reason.
+//! An endpoint, or a device on the path to it, may drop idle connections sooner than the settings state,
+//! and without closing them. The next request on such a connection is reset unread, and a request that must
+//! not be repeated is then lost.
+//!
+//! The statistics therefore count requests and broken connections by idle age, over all endpoints. A share
+//! of broken connections that is clearly higher from some age on yields an age limit. The counts decay, so
+//! that the limit follows a change. A limit that only a few endpoints have is applied to all of them.
+//!
+//! The limit costs a new handshake for each connection that is not reused. These handshakes are wasted if
+//! the connections break for a reason other than their age.
 
 use std::time::{Duration, Instant};
 
-/// Age classes: one for new connections, then two for each doubling from the youngest age that is
-/// distinguished.
-const STEPS: usize = 24;
-const YOUNGEST_MS: f64 = 10.0;
-/// Evidence is half as much after this.
+/// Number of age classes. Class 0 holds new connections. Class 1 begins at age 0; from
+/// [`MIN_DISTINGUISHED_AGE_MS`] on, each doubling of the age spans two classes. The last class has no upper
+/// bound.
+const AGE_CLASSES: usize = 24;
+/// Idle ages below this are not distinguished, in milliseconds.
+const MIN_DISTINGUISHED_AGE_MS: f64 = 10.0;
+/// The counts decay to half after this time.
 const HALF_LIFE: Duration = Duration::from_secs(30);
-/// With fewer breaks there is no such age.
-const MIN_BREAKS: f64 = 4.0;
-/// A share of breaks is above that of younger connections by more than a factor and an amount.
-const FACTOR: f64 = 2.0;
-const AMOUNT: f64 = 0.1;
+/// An age limit needs at least this (decayed) number of broken connections at or above that age.
+const MIN_BROKEN: f64 = 4.0;
+/// From the age limit on, the share of broken connections is higher than this multiple of the share among
+/// younger connections, plus [`BROKEN_SHARE_MARGIN`].
+const BROKEN_SHARE_FACTOR: f64 = 2.0;
+/// Margin that is added to the multiple of the share of broken connections, from 0 to 1.
+const BROKEN_SHARE_MARGIN: f64 = 0.1;
 
-/// Requests on connections, and how many of these broke with no response begun.
+/// Decayed counts of the requests on connections of some ages.
 #[derive(Clone, Copy, Debug, Default)]
-struct Usage {
+struct RequestCounts {
     requests: f64,
+    /// Requests whose connection broke before the first byte of the response.
     broken: f64,
 }
 
-impl Usage {
-    fn add(&mut self, other: Usage) {
+impl RequestCounts {
+    fn add(&mut self, other: RequestCounts) {
         self.requests += other.requests;
         self.broken += other.broken;
     }
 }
 
-/// Usage by age, fading.
+/// Counts of requests and broken connections by the idle age of the connection.
 #[derive(Debug)]
 pub(super) struct IdleAgeStatistics {
-    by_age: [Usage; STEPS],
-    faded_at: Instant,
+    /// Indexed by age class.
+    by_age: [RequestCounts; AGE_CLASSES],
+    /// The time up to which the decay has been applied.
+    decayed_at: Instant,
 }
 
 impl IdleAgeStatistics {
-    /// Nothing learned.
+    /// Creates statistics without any requests, which yield no age limit.
     pub fn new() -> IdleAgeStatistics {
-        IdleAgeStatistics { by_age: [Usage::default(); STEPS], faded_at: Instant::now() }
+        IdleAgeStatistics { by_age: [RequestCounts::default(); AGE_CLASSES], decayed_at: Instant::now() }
     }
 
-    fn step(age: Duration) -> usize {
-        let doublings = (age.as_secs_f64() * 1000.0 / YOUNGEST_MS).max(1.0).log2();
-        (1 + (2.0 * doublings) as usize).min(STEPS - 1)
+    /// Returns the age class of a connection that has been idle for `age`.
+    fn age_class(age: Duration) -> usize {
+        let doublings = (age.as_secs_f64() * 1000.0 / MIN_DISTINGUISHED_AGE_MS).max(1.0).log2();
+        (1 + (2.0 * doublings) as usize).min(AGE_CLASSES - 1)
     }
 
-    /// The age from which on connections are of a step.
-    fn youngest_of(step: usize) -> Duration {
-        Duration::from_secs_f64(YOUNGEST_MS / 1000.0 * ((step as f64 - 1.0) / 2.0).exp2())
+    /// Returns the lower bound of an age class. Class 1 also holds all ages below its bound.
+    fn min_age(age_class: usize) -> Duration {
+        Duration::from_secs_f64(MIN_DISTINGUISHED_AGE_MS / 1000.0 * ((age_class as f64 - 1.0) / 2.0).exp2())
     }
 
-    /// Takes in a request on a connection that was idle for `age` before, none for a new one, and whether
-    /// it broke.
-    pub fn record(&mut self, age: Option<Duration>, broke: bool) {
-        self.fade();
-        if let Some(usage) = self.by_age.get_mut(age.map_or(0, IdleAgeStatistics::step)) {
-            usage.add(Usage { requests: 1.0, broken: f64::from(u8::from(broke)) });
+    /// Records a request on a connection that had been idle for `age`, or `None` for a new connection.
+    /// `is_broken` states whether the connection broke before the first byte of the response.
+    pub fn record(&mut self, age: Option<Duration>, is_broken: bool) {
+        self.decay();
+        if let Some(counts) = self.by_age.get_mut(age.map_or(0, IdleAgeStatistics::age_class)) {
+            counts.add(RequestCounts { requests: 1.0, broken: f64::from(u8::from(is_broken)) });
         }
     }
 
-    fn fade(&mut self) {
-        let kept = 0.5_f64.powf(self.faded_at.elapsed().as_secs_f64() / HALF_LIFE.as_secs_f64());
-        self.faded_at = Instant::now();
-        for usage in &mut self.by_age {
-            usage.requests *= kept;
-            usage.broken *= kept;
+    fn decay(&mut self) {
+        let factor = 0.5_f64.powf(self.decayed_at.elapsed().as_secs_f64() / HALF_LIFE.as_secs_f64());
+        self.decayed_at = Instant::now();
+        for counts in &mut self.by_age {
+            counts.requests *= factor;
+            counts.broken *= factor;
         }
     }
 
-    /// The age from which on connections are not good: of some step, and of all older ones together, more
-    /// break than of what is younger. None where all are good.
-    pub fn limit(&self) -> Option<Duration> {
-        let mut total = Usage::default();
-        self.by_age.iter().for_each(|usage| total.add(*usage));
-        let mut younger = Usage::default();
-        self.by_age.iter().enumerate().find_map(|(step, usage)| {
-            let usual_share = younger.broken / f64::max(younger.requests, 1.0) * FACTOR + AMOUNT;
-            let from_here = Usage {
+    /// Returns the lowest age from which on connections should not be reused. Returns `None` if there is no
+    /// such age.
+    ///
+    /// The limit is the beginning of the first age class of which a larger share of connections breaks than
+    /// among all younger connections. The same must hold for that class and all older classes together.
+    pub fn age_limit(&self) -> Option<Duration> {
+        let mut total = RequestCounts::default();
+        self.by_age.iter().for_each(|counts| total.add(*counts));
+        let mut younger = RequestCounts::default();
+        self.by_age.iter().enumerate().find_map(|(age_class, counts)| {
+            let younger_share = younger.broken / f64::max(younger.requests, 1.0);
+            let max_share = younger_share * BROKEN_SHARE_FACTOR + BROKEN_SHARE_MARGIN;
+            let class_and_older = RequestCounts {
                 requests: total.requests - younger.requests,
                 broken: total.broken - younger.broken,
             };
-            younger.add(*usage);
-            let breaks_more = |usage: &Usage| usage.broken > usage.requests * usual_share;
-            let is_bad = breaks_more(usage) && breaks_more(&from_here) && from_here.broken >= MIN_BREAKS;
-            (is_bad && step > 0).then(|| IdleAgeStatistics::youngest_of(step))
+            younger.add(*counts);
+            let exceeds_share = |counts: &RequestCounts| counts.broken > counts.requests * max_share;
+            let is_over_limit = exceeds_share(counts)
+                && exceeds_share(&class_and_older)
+                && class_and_older.broken >= MIN_BROKEN;
+            (is_over_limit && age_class > 0).then(|| IdleAgeStatistics::min_age(age_class))
         })
     }
 }
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -98,7 +98,7 @@
 
     /// How long a connection may have been idle to be used again.
     fn idle_limit(&self) -> Duration {
-        self.idle_ages.borrow().limit().map_or(self.idle_timeout, |good| good.min(self.idle_timeout))
+        self.idle_ages.borrow().age_limit().map_or(self.idle_timeout, |good| good.min(self.idle_timeout))
     }
 
     /// Notes what became of a request on a connection.
