--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -221,8 +221,8 @@
         Ok(Response::from_parts(head, body))
     }
 
-    /// Returns whether the connection is open at both ends and has nothing to read. On an idle connection,
-    /// that would be the other side's close or bytes that belong to no response.
+    /// Returns whether the connection is open at both ends and has nothing to read. Anything to read on an
+    /// idle connection is the other side's close, or bytes that belong to no response.
     pub fn is_alive(&self) -> bool {
         self.connection.is_some() && !self.sender.is_closed() && self.socket.quiet()
     }
