--- a/src/node/driver/attempt.rs
+++ b/src/node/driver/attempt.rs
@@ -166,7 +166,7 @@
     let id = report.id;
     let mut sent = pin!(driver.upstream.send_attempt(attempt, || driver.still_wanted(id, attempt)));
     let body_complete = async {
-        match attempt.proxied.body_complete().await {
+        match attempt.proxied.wait_until_body_complete().await {
             Some(at) => {
                 driver.take(DriverEvent::RequestBodyComplete(id));
                 at
--- a/src/node/driver/pending_response.rs
+++ b/src/node/driver/pending_response.rs
@@ -66,7 +66,7 @@
         let proxied = self.proxied.clone();
         let expired = async {
             // A streamed body that ends later than the request came moves the deadline by as much.
-            let complete_at = proxied.body_complete().await;
+            let complete_at = proxied.wait_until_body_complete().await;
             let delay = complete_at.map(|at| at.saturating_duration_since(self.submitted_at));
             tokio::time::sleep_until((self.expires_at + delay.unwrap_or_default()).into()).await;
         };
--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -283,7 +283,7 @@
         target: path.map_or_else(|| Uri::from_static("/"), Uri::from),
         headers: without_connection_headers(head.headers),
         body,
-        _memory: memory,
+        _memory_permit: memory,
     }
 }
 
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -46,7 +46,7 @@
 impl Attempt {
     /// Waits until the deadline of the attempt has passed.
     async fn wait_until_overdue(&self) {
-        let complete_at = self.proxied.body_complete().await;
+        let complete_at = self.proxied.wait_until_body_complete().await;
         let delay = complete_at.map_or(Duration::ZERO, |at| at.saturating_duration_since(self.started_at));
         tokio::time::sleep_until((self.deadline + delay).into()).await;
     }
@@ -167,7 +167,7 @@
         biased;
         received = connection.request(request) => Some(received),
         () = overdue => None,
-        () = attempt.proxied.body_stalled() => None,
+        () = attempt.proxied.wait_until_body_stalled() => None,
     }
 }
 
--- a/src/node/upstream/request_body.rs
+++ b/src/node/upstream/request_body.rs
@@ -31,7 +31,7 @@
     /// Its body.
     pub body: RequestBody,
     /// The memory that the body takes, given back with it.
-    pub _memory: Option<OwnedSemaphorePermit>,
+    pub _memory_permit: Option<OwnedSemaphorePermit>,
 }
 
 /// The body of a client's request.
@@ -62,18 +62,18 @@
 
     /// Waits until the complete request has been passed on, and returns when that was; none for a buffered
     /// body.
-    pub async fn body_complete(&self) -> Option<Instant> {
+    pub async fn wait_until_body_complete(&self) -> Option<Instant> {
         match self.streamed_body() {
             None => None,
-            Some(body) => Some(body.complete().await),
+            Some(body) => Some(body.wait_until_complete().await),
         }
     }
 
     /// Waits until a streamed body stalls; forever if there is no streamed body.
-    pub(super) async fn body_stalled(&self) {
+    pub(super) async fn wait_until_body_stalled(&self) {
         match self.streamed_body() {
             None => std::future::pending().await,
-            Some(body) => body.stalled().await,
+            Some(body) => body.wait_until_stalled().await,
         }
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Waits for the moment at which its last byte went on.
-    async fn complete(&self) -> Instant {
+    async fn wait_until_complete(&self) -> Instant {
         loop {
             if let Some(at) = self.completed_at.get() {
                 return at;
@@ -194,7 +194,7 @@
     }
 
     /// Returns when its client is too slow, or its endpoint takes too little.
-    async fn stalled(&self) {
+    async fn wait_until_stalled(&self) {
         while self.completed_at.get().is_none() {
             let deadline = self.rate.deadline(self.passed_bytes.get(), self.moved_at.get());
             if deadline <= Instant::now() {
