--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -1,8 +1,12 @@
-//! Connections to endpoints, and the attempts on them. One request at a time on each.
+//! Sends attempts to endpoints and receives their responses.
 //!
-//! [`attempt`] sends one attempt and reports how it ended, on a connection of the [`pool`]. [`connection`]
-//! is one such connection. Bodies of up to [`MAX_BUFFERED_BODY`] bytes are buffered and can be sent
-//! again; longer ones are passed on as they come, by [`request_body`] and [`response_body`].
+//! [`attempt`] sends one attempt on a connection of the [`pool`], and determines its outcome. A
+//! [`connection`] carries one request at a time. [`idle_age`] estimates for how long idle connections can
+//! be reused.
+//!
+//! A request can be sent again only while its complete body is in memory. Bodies of up to
+//! [`MAX_BUFFERED_BODY`] bytes are therefore buffered. [`request_body`] and [`response_body`] stream longer
+//! bodies between client and endpoint.
 
 mod attempt;
 mod connection;
@@ -24,27 +28,27 @@
 use std::task::{Context, Poll};
 use thiserror::Error;
 
-/// Bodies up to this many bytes are buffered, and can be sent again; longer ones are passed on as they
-/// come.
+/// The length up to which the bodies of requests and responses are buffered, in bytes. Longer bodies are
+/// streamed.
 pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
-/// Bodies hold at most this many bytes, either way.
+/// The maximum length of a request's or response's body, in bytes.
 pub const MAX_BODY: usize = 32 * 1024 * 1024;
 
-/// Why the rest of a body will not come.
+/// The reason why a body ended before it was complete.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The side that it comes from ended or broke.
-    #[error("the body broke off: {0}")]
+    /// The sender of the body closed the connection, the connection broke, or the body is malformed.
+    #[error("the body ended early: {0}")]
     Broken(#[from] hyper::Error),
-    /// It is too long.
-    #[error("the body is over {MAX_BODY} bytes")]
+    /// The body is longer than [`MAX_BODY`].
+    #[error("the body is longer than {MAX_BODY} bytes")]
     TooLong,
-    /// Nothing came for too long.
-    #[error("nothing more of the body came")]
+    /// No data of the body arrived in time.
+    #[error("the body stalled")]
     Stalled,
 }
 
-/// The next piece of a buffered body, which cannot fail.
+/// Polls the next frame of a buffered body. Reading from memory cannot fail.
 fn poll_buffered(
     body: &mut Full<Bytes>,
     cx: &mut Context<'_>,
