--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -8,7 +8,7 @@
 use crate::headers;
 use crate::system::clock::span;
 use crate::upstream::{
-    MAX_BODY, MAX_BUFFERED_BODY, MinimumRate, ProxiedRequest, RequestBody, StreamedRequestBody,
+    MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, MinimumRate, ProxiedRequest, RequestBody, StreamedRequestBody,
 };
 use bytes::BytesMut;
 use http_body_util::BodyExt;
@@ -140,7 +140,8 @@
 impl RequestReader {
     /// `memory` is what the bodies of all open requests may take, in bytes.
     pub fn new(names: Rc<NameIndex>, classes: Vec<RequestClass>, memory: usize) -> RequestReader {
-        let memory = Arc::new(Semaphore::new(memory.clamp(MAX_BUFFERED_BODY, Semaphore::MAX_PERMITS)));
+        let memory =
+            Arc::new(Semaphore::new(memory.clamp(MAX_BUFFERED_BODY_BYTES, Semaphore::MAX_PERMITS)));
         RequestReader { names, classes, trace_ids: OpenTraceIds::default(), memory }
     }
 
@@ -158,7 +159,7 @@
         let length = body_length(&head)?;
         check_class_agrees(class, &head, length)?;
         let wait = client_wait(class, &head)?;
-        if length.is_some_and(|length| length > MAX_BODY as u64) {
+        if length.is_some_and(|length| length > MAX_BODY_BYTES as u64) {
             return Err(BadRequest::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MiB\n"));
         }
         let CollectedBody { body, memory } = self.collect(body, length, arrival.head_read_at).await?;
@@ -209,7 +210,7 @@
             }
             buffered.extend_from_slice(&data);
             let is_complete = length == Some(buffered.len() as u64);
-            if buffered.len() > MAX_BUFFERED_BODY && !is_complete {
+            if buffered.len() > MAX_BUFFERED_BODY_BYTES && !is_complete {
                 let streamed = StreamedRequestBody::new(buffered.freeze(), body, length, rate);
                 return Ok(CollectedBody { body: RequestBody::Streamed(streamed), memory });
             }
--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -3,7 +3,7 @@
 //! A connection has no task of its own: it reads and writes only while a request is in progress on it.
 
 use super::request_body::UpstreamBody;
-use super::{MAX_BODY, MAX_BUFFERED_BODY};
+use super::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use crate::system::connect::{self, ConnectError};
 use crate::system::descriptors::DescriptorPermit;
 use crate::system::socket::Socket;
@@ -141,16 +141,16 @@
 
     /// Sends one request and reads the head of its response.
     ///
-    /// Returns an error if the end of the body is ambiguous, or if its announced length is over `max_body`
-    /// bytes.
+    /// Returns an error if the end of the body is ambiguous, or if its announced length is over
+    /// `max_body_bytes`.
     async fn send(
         &mut self,
         request: Request<UpstreamBody>,
-        max_body: usize,
+        max_body_bytes: usize,
     ) -> Result<Response<Incoming>, ExchangeError> {
         let sent = self.sender.send_request(request);
         let response = UpstreamConnection::drive(&mut self.connection, sent).await?;
-        check_framing(response.headers(), response.body(), max_body)?;
+        check_framing(response.headers(), response.body(), max_body_bytes)?;
         Ok(response)
     }
 
@@ -159,7 +159,7 @@
         &mut self,
         request: Request<UpstreamBody>,
     ) -> Result<ReceivedResponse, ExchangeError> {
-        let (head, mut body) = self.send(request, MAX_BODY).await?.into_parts();
+        let (head, mut body) = self.send(request, MAX_BODY_BYTES).await?.into_parts();
         let prefix = self.read_prefix(&mut body).await?;
         Ok(ReceivedResponse {
             head,
@@ -168,16 +168,16 @@
         })
     }
 
-    /// Buffers a body of up to [`MAX_BUFFERED_BODY`] bytes to its end.
+    /// Buffers a body of up to [`MAX_BUFFERED_BODY_BYTES`] to its end.
     ///
     /// Returns an incomplete prefix, which may be empty, if the body is longer, or if its length is unknown
     /// and it has not ended within [`UNKNOWN_LENGTH_BUFFER_TIME`].
     async fn read_prefix(&mut self, body: &mut Incoming) -> Result<BodyPrefix, ExchangeError> {
         let has_unknown_length = body.size_hint().exact().is_none();
-        if body.size_hint().lower() > MAX_BUFFERED_BODY as u64 {
+        if body.size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64 {
             return Ok(BodyPrefix { bytes: Bytes::new(), is_complete: false });
         }
-        let begun_at = Instant::now();
+        let buffering_started_at = Instant::now();
         let mut buffered = BytesMut::new();
         loop {
             let frame = UpstreamConnection::drive(&mut self.connection, body.frame());
@@ -186,8 +186,9 @@
             if let Ok(data) = frame?.into_data() {
                 buffered.extend_from_slice(&data);
             }
-            let is_buffer_time_over = has_unknown_length && begun_at.elapsed() > UNKNOWN_LENGTH_BUFFER_TIME;
-            if buffered.len() > MAX_BUFFERED_BODY || is_buffer_time_over {
+            let is_buffer_time_over =
+                has_unknown_length && buffering_started_at.elapsed() > UNKNOWN_LENGTH_BUFFER_TIME;
+            if buffered.len() > MAX_BUFFERED_BODY_BYTES || is_buffer_time_over {
                 return Ok(BodyPrefix { bytes: buffered.freeze(), is_complete: false });
             }
         }
@@ -199,15 +200,15 @@
     ///
     /// # Errors
     /// Returns an error if the connection breaks, if the response is malformed, if its body is longer than
-    /// `max_body` bytes, or if the body is not complete within `body_timeout` after the head.
+    /// `max_body_bytes`, or if the body is not complete within `body_timeout` after the head.
     pub async fn exchange(
         &mut self,
         request: Request<UpstreamBody>,
-        max_body: usize,
+        max_body_bytes: usize,
         body_timeout: Duration,
     ) -> Result<Response<Bytes>, ExchangeError> {
-        let (head, body) = self.send(request, max_body).await?.into_parts();
-        let limited = Limited::<Incoming>::new(body, max_body);
+        let (head, body) = self.send(request, max_body_bytes).await?.into_parts();
+        let limited = Limited::<Incoming>::new(body, max_body_bytes);
         let complete_body = UpstreamConnection::drive(&mut self.connection, limited.collect());
         let body = match tokio::time::timeout(body_timeout, complete_body).await {
             Ok(Ok(body)) => body.to_bytes(),
@@ -238,9 +239,9 @@
 ///
 /// The end is given by `Content-Length`, by `Transfer-Encoding`, or by the end of the connection. A
 /// response with both headers is malformed unless it has no body.
-fn check_framing(headers: &HeaderMap, body: &Incoming, max_body: usize) -> Result<(), ExchangeError> {
+fn check_framing(headers: &HeaderMap, body: &Incoming, max_body_bytes: usize) -> Result<(), ExchangeError> {
     let has_both_headers = headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH);
     let has_unambiguous_end = !has_both_headers || body.size_hint().exact() == Some(0);
-    let fits = body.size_hint().lower() <= max_body as u64;
-    if has_unambiguous_end && fits { Ok(()) } else { Err(ExchangeError::Malformed) }
+    let is_within_limit = body.size_hint().lower() <= max_body_bytes as u64;
+    if has_unambiguous_end && is_within_limit { Ok(()) } else { Err(ExchangeError::Malformed) }
 }
--- a/src/node/upstream/mod.rs
+++ b/src/node/upstream/mod.rs
@@ -5,7 +5,7 @@
 //! be reused.
 //!
 //! A request can be sent again only while its complete body is in memory. Bodies of up to
-//! [`MAX_BUFFERED_BODY`] bytes are therefore buffered. [`request_body`] and [`response_body`] stream longer
+//! [`MAX_BUFFERED_BODY_BYTES`] are therefore buffered. [`request_body`] and [`response_body`] stream longer
 //! bodies between client and endpoint.
 
 mod attempt;
@@ -30,9 +30,9 @@
 
 /// The length up to which the bodies of requests and responses are buffered, in bytes. Longer bodies are
 /// streamed.
-pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// The maximum length of a request's or response's body, in bytes.
-pub const MAX_BODY: usize = 32 * 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
 /// The reason why a body ended before it was complete.
 #[derive(Debug, Error)]
@@ -40,8 +40,8 @@
     /// The sender of the body closed the connection, the connection broke, or the body is malformed.
     #[error("the body ended early: {0}")]
     Broken(#[from] hyper::Error),
-    /// The body is longer than [`MAX_BODY`].
-    #[error("the body is longer than {MAX_BODY} bytes")]
+    /// The body is longer than [`MAX_BODY_BYTES`].
+    #[error("the body is longer than {MAX_BODY_BYTES} bytes")]
     TooLong,
     /// No data of the body arrived in time.
     #[error("the body stalled")]
--- a/src/node/upstream/request_body.rs
+++ b/src/node/upstream/request_body.rs
@@ -1,6 +1,6 @@
 //! A client's request on its way to an endpoint, with a body that is buffered or streamed.
 
-use super::{BodyError, MAX_BODY, poll_buffered};
+use super::{BodyError, MAX_BODY_BYTES, poll_buffered};
 use crate::headers;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -219,7 +219,7 @@
                 Some(Ok(frame)) => match frame.into_data() {
                     // Trailers are for this connection alone.
                     Err(_) => continue,
-                    Ok(data) if self.passed_bytes.get() + data.len() as u64 > MAX_BODY as u64 => {
+                    Ok(data) if self.passed_bytes.get() + data.len() as u64 > MAX_BODY_BYTES as u64 => {
                         BodyError::TooLong
                     }
                     Ok(data) => {
--- a/src/node/upstream/response_body.rs
+++ b/src/node/upstream/response_body.rs
@@ -1,7 +1,7 @@
 //! The body of a response on its way to the client, buffered or streamed.
 
 use super::connection::UpstreamConnection;
-use super::{BodyError, MAX_BODY, poll_buffered};
+use super::{BodyError, MAX_BODY_BYTES, poll_buffered};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -131,7 +131,7 @@
     fn pass(&mut self, data: Bytes, cx: &mut Context<'_>) -> Result<Bytes, BodyError> {
         self.passed_bytes += data.len() as u64;
         self.stall.as_mut().reset((Instant::now() + STREAM_STALL_TIMEOUT).into());
-        if self.passed_bytes > MAX_BODY as u64 {
+        if self.passed_bytes > MAX_BODY_BYTES as u64 {
             self.end(AttemptOutcome::ErrorResponse);
             return Err(BodyError::TooLong);
         }
