--- a/src/node/upstream/request_body.rs
+++ b/src/node/upstream/request_body.rs
@@ -1,4 +1,8 @@
-//! A client's request on its way to an endpoint, with a body that is buffered or streamed.
+//! Forwards a client's request and its body to an endpoint.
+//!
+//! A buffered body is in memory and can be sent by several attempts. A streamed body is forwarded while
+//! the client sends it. Only its first part, the prefix, stays in memory, so the request can be sent again
+//! only until the node begins to forward the rest.
 
 use super::{BodyError, MAX_BODY_BYTES, poll_buffered};
 use crate::headers;
@@ -15,35 +19,39 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 
-/// Minimum rate of a body, in bytes a second. The slowest legitimate clients send 64 kB a second.
+/// Minimum rate of a request's body, in bytes per second. The slowest legitimate clients send 64 kB per
+/// second.
 const MIN_BYTES_PER_SECOND: f64 = 48_000.0;
-/// Grace on top of the time that this rate allows, and the longest pause between two pieces.
+/// Grace period on top of the time that [`MIN_BYTES_PER_SECOND`] allows, and at the same time the longest
+/// pause between two chunks of a body.
 const RATE_GRACE: Duration = Duration::from_secs(2);
 
-/// A client's request, to be forwarded unchanged.
+/// A client's request as it is forwarded to endpoints, without headers that concern only the client's
+/// connection.
 pub struct ProxiedRequest {
-    /// Its method.
+    /// The method of the client's request.
     pub method: Method,
-    /// Path and query.
+    /// The path and query of the client's URI.
     pub target: Uri,
-    /// The headers that go on.
+    /// The end-to-end headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body, without the trailers that a streamed body may have.
     pub body: RequestBody,
-    /// The memory that the body takes, given back with it.
+    /// The share of the memory for request bodies that this body takes. It is released when the request is
+    /// dropped. `None` if the body takes none.
     pub _memory_permit: Option<OwnedSemaphorePermit>,
 }
 
 /// The body of a client's request.
 pub enum RequestBody {
-    /// All of it is here, and can be sent again.
+    /// The complete body is in memory, and can be sent again.
     Buffered(Bytes),
-    /// More comes from the client.
+    /// The client is still sending the body.
     Streamed(Rc<StreamedRequestBody>),
 }
 
 impl ProxiedRequest {
-    /// The id that the client gave it.
+    /// Returns the id that the client assigned to the request. Returns `None` if the header is missing.
     pub fn trace_id(&self) -> Option<&HeaderValue> {
         self.headers.get(headers::TRACE_ID)
     }
@@ -55,13 +63,13 @@
         }
     }
 
-    /// Whether it can be sent, for the first time or again.
+    /// Returns whether the complete request can be sent, for the first time or again.
     pub fn is_sendable(&self) -> bool {
-        self.streamed_body().is_none_or(|body| !body.is_spent.get() && !body.has_failed.get())
+        self.streamed_body().is_none_or(|body| !body.has_read_rest.get() && !body.has_failed.get())
     }
 
-    /// Waits until the complete request has been passed on, and returns when that was; none for a buffered
-    /// body.
+    /// Waits until the last byte of a streamed body has been forwarded, and returns the time of that.
+    /// Returns `None` at once for a buffered body.
     pub async fn wait_until_body_complete(&self) -> Option<Instant> {
         match self.streamed_body() {
             None => None,
@@ -69,7 +77,8 @@
         }
     }
 
-    /// Waits until a streamed body stalls; forever if there is no streamed body.
+    /// Waits until a streamed body is too slow. Never returns if the body is buffered, or once it has been
+    /// forwarded completely.
     pub(super) async fn wait_until_body_stalled(&self) {
         match self.streamed_body() {
             None => std::future::pending().await,
@@ -77,12 +86,14 @@
         }
     }
 
-    /// The streamed body, while its last byte has not gone on.
+    /// Returns the streamed body until its last byte has been forwarded. Returns `None` after that, and for
+    /// a buffered body.
     pub(super) fn incomplete_body(&self) -> Option<&StreamedRequestBody> {
         self.streamed_body().filter(|body| body.completed_at.get().is_none()).map(Rc::as_ref)
     }
 
-    /// The request as it is sent to an endpoint, with `timeout` as the time left to answer.
+    /// Builds the request that is sent to the endpoint at `address`. `timeout` is the time that the
+    /// endpoint has for its response.
     pub(super) fn to_endpoint(&self, address: SocketAddr, timeout: Duration) -> Request<UpstreamBody> {
         let mut request = Request::new(self.upstream_body());
         *request.method_mut() = self.method.clone();
@@ -102,78 +113,83 @@
     fn upstream_body(&self) -> UpstreamBody {
         match &self.body {
             RequestBody::Buffered(body) => UpstreamBody::Buffered(Full::new(body.clone())),
-            RequestBody::Streamed(body) => UpstreamBody::Streamed(body.clone(), Some(body.first.clone())),
+            RequestBody::Streamed(body) => UpstreamBody::Streamed(body.clone(), Some(body.prefix.clone())),
         }
     }
 }
 
-/// How slow a body may be.
+/// The minimum rate of one request's body, measured from the start of that body.
 #[derive(Clone, Copy)]
 pub struct MinimumRate {
-    begun_at: Instant,
+    started_at: Instant,
 }
 
 impl MinimumRate {
-    /// For a body that began at this time.
-    pub fn new(begun_at: Instant) -> MinimumRate {
-        MinimumRate { begun_at }
+    /// Creates the minimum rate for a body that started at `started_at`.
+    pub fn new(started_at: Instant) -> MinimumRate {
+        MinimumRate { started_at }
     }
 
-    /// When a body counts as too slow of which `bytes` have come, the last of them at `moved_at`.
-    pub fn deadline(&self, bytes: u64, moved_at: Instant) -> Instant {
-        let earned = Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_SECOND);
-        (self.begun_at + earned).min(moved_at) + RATE_GRACE
+    /// Returns the time from which on the body counts as too slow if no further byte arrives. `bytes` is
+    /// the number of bytes so far, and `last_progress_at` the time of the last of them.
+    pub fn deadline(&self, bytes: u64, last_progress_at: Instant) -> Instant {
+        let allowed_time = Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_SECOND);
+        (self.started_at + allowed_time).min(last_progress_at) + RATE_GRACE
     }
 }
 
-/// A long body on its way from a client to an endpoint. Bytes that were passed on are not kept, so after
-/// its first part the request cannot be sent again.
+/// A body that is too long to be buffered, and is forwarded from a client to an endpoint.
 pub struct StreamedRequestBody {
-    first: Bytes,
+    /// The first part of the body, which stays in memory.
+    prefix: Bytes,
+    /// The part behind the prefix. Its bytes are not kept once they have been forwarded.
     rest: RefCell<Incoming>,
+    /// The announced length of the complete body. `None` if the body is sent in chunks.
     length: Option<u64>,
-    rate: MinimumRate,
-    passed_bytes: Cell<u64>,
-    moved_at: Cell<Instant>,
-    /// Bytes have been passed on that are not kept.
-    is_spent: Cell<bool>,
-    /// The client's side of it ended before the body did.
+    minimum_rate: MinimumRate,
+    forwarded_bytes: Cell<u64>,
+    last_forwarded_at: Cell<Instant>,
+    /// Whether the node has begun to read `rest`. From then on the request cannot be sent again.
+    has_read_rest: Cell<bool>,
+    /// Whether the body ended early on the client's side, or is too long.
     has_failed: Cell<bool>,
+    /// The time at which the last byte was forwarded.
     completed_at: Cell<Option<Instant>>,
     completed: Notify,
 }
 
 impl StreamedRequestBody {
-    /// A body of which `first` has been read and `rest` comes; `length` is that of all, if known.
+    /// Creates a body of which `prefix` has been read and `rest` is still to be read. `length` is the
+    /// announced length of the complete body, or `None` if the body is sent in chunks.
     pub fn new(
-        first: Bytes,
+        prefix: Bytes,
         rest: Incoming,
         length: Option<u64>,
-        rate: MinimumRate,
+        minimum_rate: MinimumRate,
     ) -> Rc<StreamedRequestBody> {
         Rc::new(StreamedRequestBody {
-            first,
+            prefix,
             rest: RefCell::new(rest),
             length,
-            rate,
-            passed_bytes: Cell::new(0),
-            moved_at: Cell::new(Instant::now()),
-            is_spent: Cell::new(false),
+            minimum_rate,
+            forwarded_bytes: Cell::new(0),
+            last_forwarded_at: Cell::new(Instant::now()),
+            has_read_rest: Cell::new(false),
             has_failed: Cell::new(false),
             completed_at: Cell::new(None),
             completed: Notify::new(),
         })
     }
 
-    /// Whether the client's side of it ended before the body did.
+    /// Returns whether the body ended early on the client's side, or is too long.
     pub(super) fn has_failed(&self) -> bool {
         self.has_failed.get()
     }
 
-    fn record_passed(&self, bytes: usize) {
-        self.passed_bytes.set(self.passed_bytes.get() + bytes as u64);
-        self.moved_at.set(Instant::now());
-        if Some(self.passed_bytes.get()) == self.length {
+    fn record_forwarded(&self, bytes: usize) {
+        self.forwarded_bytes.set(self.forwarded_bytes.get() + bytes as u64);
+        self.last_forwarded_at.set(Instant::now());
+        if Some(self.forwarded_bytes.get()) == self.length {
             self.record_completed();
         }
     }
@@ -183,7 +199,7 @@
         self.completed.notify_waiters();
     }
 
-    /// Waits for the moment at which its last byte went on.
+    /// Waits until the last byte has been forwarded, and returns the time of that.
     async fn wait_until_complete(&self) -> Instant {
         loop {
             if let Some(at) = self.completed_at.get() {
@@ -193,10 +209,12 @@
         }
     }
 
-    /// Returns when its client is too slow, or its endpoint takes too little.
+    /// Waits until the body is slower than the minimum rate, either because the client sends too slowly or
+    /// because the endpoint accepts too little. Never returns once the body is complete.
     async fn wait_until_stalled(&self) {
         while self.completed_at.get().is_none() {
-            let deadline = self.rate.deadline(self.passed_bytes.get(), self.moved_at.get());
+            let deadline =
+                self.minimum_rate.deadline(self.forwarded_bytes.get(), self.last_forwarded_at.get());
             if deadline <= Instant::now() {
                 return;
             }
@@ -205,9 +223,9 @@
         std::future::pending().await
     }
 
-    /// The next piece behind the first; none at the end.
+    /// Polls the next data behind the prefix. Yields `None` at the end of the body.
     fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
-        self.is_spent.set(true);
+        self.has_read_rest.set(true);
         loop {
             let frame = ready!(Pin::new(&mut *self.rest.borrow_mut()).poll_frame(cx));
             let error = match frame {
@@ -217,13 +235,13 @@
                 }
                 Some(Err(error)) => BodyError::Broken(error),
                 Some(Ok(frame)) => match frame.into_data() {
-                    // Trailers are for this connection alone.
+                    // Trailers are not forwarded: they concern only the client's connection.
                     Err(_) => continue,
-                    Ok(data) if self.passed_bytes.get() + data.len() as u64 > MAX_BODY_BYTES as u64 => {
+                    Ok(data) if self.forwarded_bytes.get() + data.len() as u64 > MAX_BODY_BYTES as u64 => {
                         BodyError::TooLong
                     }
                     Ok(data) => {
-                        self.record_passed(data.len());
+                        self.record_forwarded(data.len());
                         return Poll::Ready(Some(Ok(data)));
                     }
                 },
@@ -234,16 +252,16 @@
     }
 }
 
-/// A request's body on a connection to an endpoint.
+/// The body of a request as hyper sends it to an endpoint or to discovery.
 pub enum UpstreamBody {
-    /// A buffered body.
+    /// A body that is in memory.
     Buffered(Full<Bytes>),
-    /// A streamed body, with its first part if that is still to be sent.
+    /// A streamed body. The prefix is `None` once it has been sent.
     Streamed(Rc<StreamedRequestBody>, Option<Bytes>),
 }
 
 impl UpstreamBody {
-    /// No body.
+    /// Returns the body of a request that has none.
     pub fn empty() -> UpstreamBody {
         UpstreamBody::Buffered(Full::new(Bytes::new()))
     }
@@ -257,21 +275,21 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let (body, first) = match &mut *self {
+        let (body, prefix) = match &mut *self {
             UpstreamBody::Buffered(body) => return poll_buffered(body, cx),
-            UpstreamBody::Streamed(body, first) => (body, first),
+            UpstreamBody::Streamed(body, prefix) => (body, prefix),
         };
-        if let Some(first) = first.take() {
-            body.record_passed(first.len());
-            return Poll::Ready(Some(Ok(Frame::data(first))));
+        if let Some(prefix) = prefix.take() {
+            body.record_forwarded(prefix.len());
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
-        body.poll_rest(cx).map(|next| next.map(|piece| piece.map(Frame::data)))
+        body.poll_rest(cx).map(|next| next.map(|data| data.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             UpstreamBody::Buffered(body) => body.is_end_stream(),
-            UpstreamBody::Streamed(body, first) => first.is_none() && body.completed_at.get().is_some(),
+            UpstreamBody::Streamed(body, prefix) => prefix.is_none() && body.completed_at.get().is_some(),
         }
     }
 
