--- a/src/node/upstream/response_body.rs
+++ b/src/node/upstream/response_body.rs
@@ -1,4 +1,8 @@
-//! The body of a response on its way to the client, buffered or streamed.
+//! Forwards the body of a response to the client.
+//!
+//! A buffered body is complete before the client's response begins. A streamed body is read from the
+//! endpoint's connection while the client receives it, so the outcome of its attempt is known only at its
+//! end. The body reports this outcome through a channel, and returns the connection if it can be reused.
 
 use super::connection::UpstreamConnection;
 use super::{BodyError, MAX_BODY_BYTES, poll_buffered};
@@ -14,75 +18,84 @@
 use tokio::time::Sleep;
 use wheelpath::policy::AttemptOutcome;
 
-/// A streamed response on which nothing moves for so long is given up. Endpoints stand still for half a
-/// second at times.
+/// A streamed response is aborted if no data arrives for this time. Endpoints sometimes pause for half a
+/// second.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How a streamed response ended, with its connection if that can be reused.
+/// The outcome of an attempt with a streamed response, and its connection if the response is complete.
 pub type StreamEnd = (AttemptOutcome, Option<UpstreamConnection>);
 
-/// The body of a response that goes to the client.
+/// The body of a response as hyper sends it to the client.
 pub enum ResponseBody {
-    /// A buffered body.
+    /// A body that is in memory.
     Buffered(Full<Bytes>),
-    /// One that is passed on as it comes.
+    /// A body that is forwarded while the endpoint sends it.
     Streamed(Box<StreamedResponseBody>),
 }
 
-/// A long response on its way from an endpoint to a client.
+/// A body that is too long to be buffered, and is forwarded from an endpoint to a client.
 pub struct StreamedResponseBody {
-    first: Option<Bytes>,
+    /// The buffered first part of the body. `None` if it is empty or has been forwarded.
+    prefix: Option<Bytes>,
+    /// The part behind the prefix.
     rest: Incoming,
+    /// The announced length of the complete body. `None` if the endpoint does not announce it.
     length: Option<u64>,
-    passed_bytes: u64,
+    forwarded_bytes: u64,
+    /// The connection to the endpoint. `None` after the end of the body.
     connection: Option<UpstreamConnection>,
-    stall: Pin<Box<Sleep>>,
-    /// What the client's side keeps for as long as this lasts.
-    held: Option<Box<dyn Any>>,
-    /// Receives how it ended; dropped without a message, it means that the client has left.
-    ended: Option<oneshot::Sender<StreamEnd>>,
+    stall_timer: Pin<Box<Sleep>>,
+    /// A value of the client's side that is dropped together with this body.
+    guard: Option<Box<dyn Any>>,
+    /// Reports the end of the stream. Dropping the sender without a message means that the client has
+    /// disconnected. `None` after the report.
+    end_sender: Option<oneshot::Sender<StreamEnd>>,
 }
 
 impl StreamedResponseBody {
-    /// A body of which `first` has been read and `rest` comes on a connection; and what reports how it
-    /// ended.
+    /// Creates a body of which `prefix` has been read and `rest` is still to be read from `connection`.
+    /// Also returns the receiver for the end of the stream.
     pub(super) fn new(
         connection: UpstreamConnection,
-        first: Bytes,
+        prefix: Bytes,
         rest: Incoming,
     ) -> (StreamedResponseBody, oneshot::Receiver<StreamEnd>) {
-        let (ended, end) = oneshot::channel();
-        let length = rest.size_hint().exact().map(|left| left + first.len() as u64);
+        let (end_sender, end_receiver) = oneshot::channel();
+        let length = rest.size_hint().exact().map(|rest_length| rest_length + prefix.len() as u64);
         let body = StreamedResponseBody {
-            first: Some(first).filter(|first| !first.is_empty()),
+            prefix: Some(prefix).filter(|prefix| !prefix.is_empty()),
             rest,
             length,
-            passed_bytes: 0,
+            forwarded_bytes: 0,
             connection: Some(connection),
-            stall: Box::pin(tokio::time::sleep(STREAM_STALL_TIMEOUT)),
-            held: None,
-            ended: Some(ended),
+            stall_timer: Box::pin(tokio::time::sleep(STREAM_STALL_TIMEOUT)),
+            guard: None,
+            end_sender: Some(end_sender),
         };
-        (body, end)
+        (body, end_receiver)
     }
 
-    fn end(&mut self, outcome: AttemptOutcome) {
+    /// Reports the outcome of the attempt, unless it has been reported. Closes the connection unless the
+    /// response is complete.
+    fn report_end(&mut self, outcome: AttemptOutcome) {
         let connection = self.connection.take().filter(|_| outcome == AttemptOutcome::Answered);
-        if let Some(ended) = self.ended.take() {
-            // The node may be about to end.
-            let _ = ended.send((outcome, connection));
+        if let Some(end_sender) = self.end_sender.take() {
+            // The receiver may be gone if the node is shutting down.
+            let _ = end_sender.send((outcome, connection));
         }
     }
 
+    /// Ends the stream after a complete response.
     fn finish(&mut self, cx: &mut Context<'_>) {
         if let Some(connection) = &mut self.connection {
-            // The connection sees that the response is over and is ready for the next.
+            // This lets the connection process the end of the response, so that it becomes ready for the
+            // next request.
             connection.poll_io(cx);
         }
-        self.end(AttemptOutcome::Answered);
+        self.report_end(AttemptOutcome::Answered);
     }
 
-    /// The next piece behind the first; none at the end.
+    /// Polls the next data behind the prefix. Yields `None` at the end of the body.
     fn poll_rest(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             let mut frame = Pin::new(&mut self.rest).poll_frame(cx);
@@ -93,10 +106,11 @@
                 frame = Pin::new(&mut self.rest).poll_frame(cx);
             }
             return match frame {
-                Poll::Pending => self.stall.as_mut().poll(cx).map(|()| Some(Err(BodyError::Stalled))),
+                Poll::Pending => self.stall_timer.as_mut().poll(cx).map(|()| Some(Err(BodyError::Stalled))),
                 Poll::Ready(None) => Poll::Ready(None),
                 Poll::Ready(Some(Err(error))) => Poll::Ready(Some(Err(error.into()))),
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
+                    // Trailers are not forwarded.
                     Err(_) => continue,
                     Ok(data) => Poll::Ready(Some(Ok(data))),
                 },
@@ -104,16 +118,17 @@
         }
     }
 
-    fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
-        let next = match self.first.take() {
-            Some(first) => Some(Ok(first)),
+    /// Polls the next data of the body. Yields `None` at the end of the body.
+    fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+        let next = match self.prefix.take() {
+            Some(prefix) => Some(Ok(prefix)),
             None => ready!(self.poll_rest(cx)),
         };
         Poll::Ready(match next {
-            Some(Ok(data)) => Some(self.pass(data, cx)),
+            Some(Ok(data)) => Some(self.forward(data, cx)),
             Some(Err(error)) => {
                 let is_stalled = matches!(error, BodyError::Stalled);
-                self.end(if is_stalled {
+                self.report_end(if is_stalled {
                     AttemptOutcome::TimedOut
                 } else {
                     AttemptOutcome::ConnectionReset
@@ -127,16 +142,16 @@
         })
     }
 
-    /// Counts a piece that goes on to the client.
-    fn pass(&mut self, data: Bytes, cx: &mut Context<'_>) -> Result<Bytes, BodyError> {
-        self.passed_bytes += data.len() as u64;
-        self.stall.as_mut().reset((Instant::now() + STREAM_STALL_TIMEOUT).into());
-        if self.passed_bytes > MAX_BODY_BYTES as u64 {
-            self.end(AttemptOutcome::ErrorResponse);
+    /// Counts data that goes to the client, and ends the stream if it is too long or complete.
+    fn forward(&mut self, data: Bytes, cx: &mut Context<'_>) -> Result<Bytes, BodyError> {
+        self.forwarded_bytes += data.len() as u64;
+        self.stall_timer.as_mut().reset((Instant::now() + STREAM_STALL_TIMEOUT).into());
+        if self.forwarded_bytes > MAX_BODY_BYTES as u64 {
+            self.report_end(AttemptOutcome::ErrorResponse);
             return Err(BodyError::TooLong);
         }
-        if Some(self.passed_bytes) == self.length {
-            // Nothing reads beyond that.
+        if Some(self.forwarded_bytes) == self.length {
+            // hyper does not poll a body again once its announced length is reached.
             self.finish(cx);
         }
         Ok(data)
@@ -144,21 +159,21 @@
 }
 
 impl ResponseBody {
-    /// A body that is here.
+    /// Creates a body that is in memory.
     pub fn buffered(bytes: Bytes) -> ResponseBody {
         ResponseBody::Buffered(Full::new(bytes))
     }
 
-    /// More of it is to come.
+    /// Returns whether the body is forwarded while the endpoint sends it.
     pub fn is_streamed(&self) -> bool {
         matches!(self, ResponseBody::Streamed(_))
     }
 
-    /// Keeps `held` until a streamed response has ended; drops it at once where there is nothing to wait
-    /// for.
-    pub fn hold_until_end(&mut self, held: impl Any) {
+    /// Keeps `guard` until a streamed body is dropped, after its end or because the client has
+    /// disconnected. Drops `guard` at once if the body is buffered.
+    pub fn hold_until_end(&mut self, guard: impl Any) {
         if let ResponseBody::Streamed(body) = self {
-            body.held = Some(Box::new(held));
+            body.guard = Some(Box::new(guard));
         }
     }
 }
@@ -174,7 +189,7 @@
         match &mut *self {
             ResponseBody::Buffered(body) => poll_buffered(body, cx),
             ResponseBody::Streamed(body) => {
-                body.poll_piece(cx).map(|next| next.map(|piece| piece.map(Frame::data)))
+                body.poll_data(cx).map(|next| next.map(|data| data.map(Frame::data)))
             }
         }
     }
@@ -187,7 +202,7 @@
         match self {
             ResponseBody::Buffered(body) => body.size_hint(),
             ResponseBody::Streamed(body) => body.length.map_or_else(SizeHint::new, |length| {
-                SizeHint::with_exact(length.saturating_sub(body.passed_bytes))
+                SizeHint::with_exact(length.saturating_sub(body.forwarded_bytes))
             }),
         }
     }
