--- a/src/node/headers.rs
+++ b/src/node/headers.rs
@@ -10,9 +10,9 @@
 /// Request header, optional: the object that the request is about. The hash of this value is the request's
 /// key; requests with the same key go to the same endpoints if possible.
 pub const OBJECT: HeaderName = HeaderName::from_static("x-object");
-/// Request header: for how long the sender waits for the response, in milliseconds. Optional from clients,
-/// where the limit of the request's class applies if the header is absent; always set by the node on
-/// requests to endpoints.
+/// Request header: for how long the sender waits for the response, in milliseconds. Optional in requests of
+/// clients: if the header is absent, or exceeds the limit of the request's class, that limit applies. The
+/// node always sets the header in requests to endpoints.
 pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("x-expires-in-ms");
 /// Request header, optional: the client's estimate of the processor time that the request needs, in
 /// microseconds.
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -54,7 +54,7 @@
 
 /// The part of an endpoint's response that goes to the client.
 pub struct UpstreamResponse {
-    /// The buffered or streamed body.
+    /// The body, which may still be arriving from the endpoint.
     pub body: ResponseBody,
     /// The `Content-Type` header. `None` if the response has none.
     pub content_type: Option<HeaderValue>,
@@ -80,8 +80,8 @@
 pub enum AttemptEnd {
     /// The attempt is over. Holds the connection if it may be usable for another request.
     Complete(AttemptResult, Option<UpstreamConnection>),
-    /// A streamed response has begun. The receiver yields its end, or an error if the client disconnects
-    /// before.
+    /// A streamed response has begun. The receiver yields the end of the response, or an error if the
+    /// client disconnects before that.
     Streaming(AttemptResult, oneshot::Receiver<StreamEnd>),
 }
 
@@ -207,12 +207,13 @@
     bytes_before: &ByteCounts,
     error: &ExchangeError,
 ) -> AttemptOutcome {
-    let incomplete = attempt.proxied.incomplete_body();
-    if incomplete.is_some_and(|body| body.has_failed()) {
+    let incomplete_body = attempt.proxied.incomplete_body();
+    if incomplete_body.is_some_and(|body| body.has_failed()) {
+        // The client's side is at fault, and the endpoint has not received the complete request.
         return AttemptOutcome::NotSent;
     }
     // No byte of the request left this node, or the last one did not: the request did not run.
-    if incomplete.is_some() || connection.socket.written() == bytes_before.written {
+    if incomplete_body.is_some() || connection.socket.written() == bytes_before.written {
         return AttemptOutcome::ConnectFailed;
     }
     // Bytes of the request were written, so it may have run.
--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -57,9 +57,10 @@
     }
 }
 
-/// A response of an endpoint, with the part of the body that has been buffered.
+/// A response of an endpoint whose body has been read completely or in part.
 pub(super) struct ReceivedResponse {
     pub head: Parts,
+    /// The buffered first part of the body, which may be empty.
     pub prefix: Bytes,
     /// The part of the body behind `prefix`. `None` if `prefix` is the complete body.
     pub rest: Option<Incoming>,
@@ -74,7 +75,7 @@
 
 type HttpConnection = Pin<Box<Connection<TokioIo<Socket>, UpstreamBody>>>;
 
-/// An HTTP/1.1 connection that reads and writes only while a caller awaits one of its methods or polls it.
+/// An HTTP/1.1 connection that reads and writes only while a caller awaits or polls one of its methods.
 ///
 /// No task runs for an idle connection, so dropping the connection closes the socket at once.
 pub struct UpstreamConnection {
@@ -125,8 +126,8 @@
 
     /// Reads and writes as much as is possible without waiting.
     ///
-    /// After the end of a response, the connection becomes ready for the next request by this call, or
-    /// notices that bytes beyond the response have arrived.
+    /// Must be called after the end of a response: only then does the connection become ready for the next
+    /// request, or notice that more bytes have arrived than belong to the response.
     pub(super) fn poll_io(&mut self, cx: &mut Context<'_>) {
         UpstreamConnection::poll_connection(&mut self.connection, cx);
     }
--- a/src/node/upstream/idle_age.rs
+++ b/src/node/upstream/idle_age.rs
@@ -1,12 +1,12 @@
 //! Estimates the idle age up to which connections to endpoints can be reused.
 //!
 //! An endpoint, or a device on the path to it, may drop idle connections sooner than the settings state,
-//! and without closing them. The next request on such a connection is reset unread, and a request that must
-//! not be repeated is then lost.
+//! and without notice. The next request on such a connection is not read, but answered by a reset. A
+//! request that must not be repeated is then lost.
 //!
-//! The statistics therefore count requests and broken connections by idle age, over all endpoints. A share
-//! of broken connections that is clearly higher from some age on yields an age limit. The counts decay, so
-//! that the limit follows a change. A limit that only a few endpoints have is applied to all of them.
+//! The statistics therefore count requests and broken connections by idle age, over all endpoints. If the
+//! share of broken connections is clearly higher from some age on, that age becomes the limit. The counts
+//! decay, so that the limit follows a change. A limit that only a few endpoints have applies to all of them.
 //!
 //! The limit costs a new handshake for each connection that is not reused. These handshakes are wasted if
 //! the connections break for a reason other than their age.
