--- a/src/node/upstream/idle_age.rs
+++ b/src/node/upstream/idle_age.rs
@@ -6,7 +6,8 @@
 //!
 //! The statistics therefore count requests and broken connections by idle age, over all endpoints. If the
 //! share of broken connections is clearly higher from some age on, that age becomes the limit. The counts
-//! decay, so that the limit follows a change. A limit that only a few endpoints have applies to all of them.
+//! decay, so that the limit follows a change. A limit that only a few endpoints have applies to all of
+//! them.
 //!
 //! The limit costs a new handshake for each connection that is not reused. These handshakes are wasted if
 //! the connections break for a reason other than their age.
