--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -204,7 +204,7 @@
             if response.body().is_streamed() {
                 client.socket.limit_unsent_bytes();
             }
-            response.body_mut().hold(in_progress);
+            response.body_mut().hold_until_end(in_progress);
             Ok(response)
         }
     }
--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -8,7 +8,7 @@
 use crate::headers;
 use crate::system::clock::clamped_duration;
 use crate::upstream::{
-    MAX_BODY, MAX_BUFFERED_BODY, MinimumRate, ProxiedRequest, RequestBody, StreamedRequestBody,
+    MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, MinimumRate, ProxiedRequest, RequestBody, StreamedRequestBody,
 };
 use bytes::BytesMut;
 use http_body_util::BodyExt;
@@ -147,14 +147,15 @@
 impl RequestReader {
     /// Creates a reader for requests of these classes. `body_memory_bytes` is the memory that the buffered
     /// bodies, and the buffered parts of streamed bodies, of all open requests may take up together. A value
-    /// below [`MAX_BUFFERED_BODY`] counts as [`MAX_BUFFERED_BODY`].
+    /// below [`MAX_BUFFERED_BODY_BYTES`] counts as [`MAX_BUFFERED_BODY_BYTES`].
     pub fn new(
         names: Rc<NameIndex>,
         classes: Vec<RequestClass>,
         body_memory_bytes: usize,
     ) -> RequestReader {
-        let body_memory =
-            Arc::new(Semaphore::new(body_memory_bytes.clamp(MAX_BUFFERED_BODY, Semaphore::MAX_PERMITS)));
+        let body_memory = Arc::new(Semaphore::new(
+            body_memory_bytes.clamp(MAX_BUFFERED_BODY_BYTES, Semaphore::MAX_PERMITS),
+        ));
         RequestReader { names, classes, trace_ids: OpenTraceIds::default(), body_memory }
     }
 
@@ -173,7 +174,7 @@
         let length = body_length(&head)?;
         check_idempotency(class, &head, length)?;
         let timeout = client_timeout(class, &head)?;
-        if length.is_some_and(|length| length > MAX_BODY as u64) {
+        if length.is_some_and(|length| length > MAX_BODY_BYTES as u64) {
             return Err(RequestRejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MiB\n"));
         }
         let CollectedBody { body, memory } = self.collect(body, length, arrival.head_read_at).await?;
@@ -226,7 +227,7 @@
             }
             buffered.extend_from_slice(&data);
             let is_complete = length == Some(buffered.len() as u64);
-            if buffered.len() > MAX_BUFFERED_BODY && !is_complete {
+            if buffered.len() > MAX_BUFFERED_BODY_BYTES && !is_complete {
                 let streamed = StreamedRequestBody::new(buffered.freeze(), body, length, minimum_rate);
                 return Ok(CollectedBody { body: RequestBody::Streamed(streamed), memory });
             }
@@ -297,7 +298,7 @@
         key: header_text(head, headers::OBJECT).map(stable_hash),
         deadline_ms: 0.0,
         estimated_cost_ms: cost_us.filter(|cost| cost.is_finite()).map(|cost| cost / 1000.0),
-        is_retry: header_text(head, headers::FURTHER_TRY) == Some("1"),
+        is_retry: header_text(head, headers::CLIENT_RETRY) == Some("1"),
         queued_ms: arrived_at.elapsed().as_secs_f64() * 1000.0,
     }
 }
@@ -310,7 +311,7 @@
         target: path.map_or_else(|| Uri::from_static("/"), Uri::from),
         headers: without_hop_by_hop_headers(head.headers),
         body,
-        _memory: memory,
+        _memory_permit: memory,
     }
 }
 
