--- a/fault-soak/src/fault_injection.rs
+++ b/fault-soak/src/fault_injection.rs
@@ -4,7 +4,7 @@
 //! in time run as separate tasks.
 
 use crate::discovery::{Discovery, server_name};
-use crate::faults::SyscallFault;
+use crate::faults::FaultSetting;
 use crate::node::Node;
 use crate::proxy::ProxyMode;
 use crate::record::{DisabledPeriod, ServerChange};
@@ -172,7 +172,7 @@
 
     fn step_clock(&self, by_ms: i64) {
         let offset = self.wall_offset_ms.fetch_add(by_ms, Ordering::SeqCst) + by_ms;
-        self.nodes.iter().for_each(|node| node.faults.set(SyscallFault::WallOffsetMs, offset));
+        self.nodes.iter().for_each(|node| node.faults.set(FaultSetting::WallOffsetMs, offset));
     }
 
     async fn kill_many_nodes(&self, percent: usize, downtime: Duration) {
@@ -304,29 +304,29 @@
         Fault::InterruptedCalls { one_in, for_ms, .. } => {
             let duration = milliseconds(for_ms);
             tokio::join!(
-                node.inject_syscall_fault(SyscallFault::InterruptedIo, one_in, duration),
-                node.inject_syscall_fault(SyscallFault::ShortIo, one_in, duration),
-                node.inject_syscall_fault(SyscallFault::InterruptedWait, one_in, duration),
+                node.inject_syscall_fault(FaultSetting::InterruptedIo, one_in, duration),
+                node.inject_syscall_fault(FaultSetting::ShortIo, one_in, duration),
+                node.inject_syscall_fault(FaultSetting::InterruptedWait, one_in, duration),
             );
         }
         Fault::SocketFailures { one_in, for_ms, .. } => {
             let duration = milliseconds(for_ms);
             tokio::join!(
-                node.inject_syscall_fault(SyscallFault::AcceptFails, one_in, duration),
-                node.inject_syscall_fault(SyscallFault::SocketFails, one_in, duration),
-                node.inject_syscall_fault(SyscallFault::ConnectFails, one_in, duration),
+                node.inject_syscall_fault(FaultSetting::FailedAccept, one_in, duration),
+                node.inject_syscall_fault(FaultSetting::FailedSocket, one_in, duration),
+                node.inject_syscall_fault(FaultSetting::FailedConnect, one_in, duration),
             );
         }
         Fault::HeldWrites { one_in, for_ms, .. } => {
-            node.inject_syscall_fault(SyscallFault::HeldSend, one_in, milliseconds(for_ms)).await;
+            node.inject_syscall_fault(FaultSetting::DelayedSend, one_in, milliseconds(for_ms)).await;
         }
         Fault::DiskFailures { for_ms, .. } => {
             let duration = milliseconds(for_ms);
             tokio::join!(
-                node.inject_syscall_fault(SyscallFault::WriteFails, 3, duration),
-                node.inject_syscall_fault(SyscallFault::WriteHalves, 4, duration),
-                node.inject_syscall_fault(SyscallFault::SyncFails, 3, duration),
-                node.inject_syscall_fault(SyscallFault::RenameFails, 4, duration),
+                node.inject_syscall_fault(FaultSetting::FailedWrite, 3, duration),
+                node.inject_syscall_fault(FaultSetting::PartialWrite, 4, duration),
+                node.inject_syscall_fault(FaultSetting::FailedSync, 3, duration),
+                node.inject_syscall_fault(FaultSetting::FailedRename, 4, duration),
             );
         }
         _ => {}
--- a/fault-soak/src/node.rs
+++ b/fault-soak/src/node.rs
@@ -6,7 +6,7 @@
 
 use crate::client::Clients;
 use crate::discovery::Discovery;
-use crate::faults::{SyscallFault, SyscallFaults};
+use crate::faults::{FaultSetting, SyscallFaults};
 use crate::http::Message;
 use crate::record::{ProcessGap, Record, Rule};
 use crate::settings::{NodeAddresses, ProcessParameters, config};
@@ -359,7 +359,7 @@
     }
 
     /// Makes one in `one_in` of the system calls that the fault concerns fail, for `duration`.
-    pub async fn inject_syscall_fault(&self, fault: SyscallFault, one_in: i64, duration: Duration) {
+    pub async fn inject_syscall_fault(&self, fault: FaultSetting, one_in: i64, duration: Duration) {
         self.faults.set(fault, one_in);
         tokio::time::sleep(duration).await;
         self.faults.set(fault, 0);
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -3,7 +3,7 @@
 
 use crate::client::Clients;
 use crate::discovery::Discovery;
-use crate::faults::{SyscallFault, SyscallFaults};
+use crate::faults::{FaultSetting, SyscallFaults};
 use crate::node::{Deployment, Node, free_address};
 use crate::oracle::{self, Violation};
 use crate::record::Record;
@@ -243,8 +243,8 @@
     let first_persistent = run_size(plan.nodes, plan.servers, 0).first_persistent;
     let node = |(index, addresses)| {
         let faults = Arc::new(SyscallFaults::new(plan.seed as i64 * 1000 + index as i64));
-        faults.set(SyscallFault::ShortBytes, SHORT_IO_BYTES);
-        faults.set(SyscallFault::HoldMs, HELD_WRITE_MS);
+        faults.set(FaultSetting::ShortIoBytes, SHORT_IO_BYTES);
+        faults.set(FaultSetting::DelayMs, HELD_WRITE_MS);
         Node::new(index, addresses, index >= first_persistent, faults, deployment.clone())
     };
     addresses.into_iter().enumerate().map(node).collect()
--- a/tests/node/client.rs
+++ b/tests/node/client.rs
@@ -3,7 +3,7 @@
 use super::endpoint_stub::RequestRecord;
 use super::http::{Message, request};
 use super::node_process::Node;
-use super::waiting::{PATIENCE, wait_for};
+use super::waiting::{WAIT_TIMEOUT, wait_for};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
@@ -20,8 +20,8 @@
     }
 
     pub fn try_connect(address: SocketAddr) -> Option<Client> {
-        let stream = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let stream = TcpStream::connect_timeout(&address, WAIT_TIMEOUT).ok()?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let reader = BufReader::new(stream.try_clone().unwrap());
         Some(Client { stream, reader })
     }
@@ -31,13 +31,13 @@
     }
 
     /// The response, if a complete one comes.
-    pub fn response(&mut self) -> Option<Message> {
+    pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
     pub fn send_and_receive(&mut self, bytes: &[u8]) -> Message {
         assert!(self.send(bytes));
-        self.response().expect("an answer")
+        self.read_response().expect("an answer")
     }
 }
 
@@ -45,7 +45,7 @@
 pub fn try_request(address: SocketAddr, bytes: &[u8]) -> Option<Message> {
     let mut client = Client::try_connect(address)?;
     client.send(bytes);
-    client.response()
+    client.read_response()
 }
 
 /// One request on a connection of its own, which must be answered.
@@ -54,7 +54,13 @@
 }
 
 /// Sends requests of one class, `at_once` at a time and each on a connection of its own; their statuses.
-pub fn send_many(node: &Node, class: &str, deadline_ms: u64, count: usize, at_once: usize) -> Vec<u16> {
+pub fn send_concurrently(
+    node: &Node,
+    class: &str,
+    deadline_ms: u64,
+    count: usize,
+    at_once: usize,
+) -> Vec<u16> {
     let address = node.address;
     let mut statuses = Vec::new();
     for _ in 0..count.div_ceil(at_once) {
@@ -71,7 +77,11 @@
 
 /// Sends requests until `staying` has served some more, and asserts that `leaving` gets none. One of many nodes may
 /// reject one of several requests that are answered late, so not each is served.
-pub fn assert_only_staying_serves(node: &Node, leaving: &RequestRecord, staying: &RequestRecord) {
+pub fn assert_draining_endpoint_gets_no_requests(
+    node: &Node,
+    leaving: &RequestRecord,
+    staying: &RequestRecord,
+) {
     let (left, stayed) = (leaving.count(), staying.count());
     wait_for("the staying endpoint serves", || {
         send_request(node.address, &request("bid", 900));
--- a/tests/node/discovery_stub.rs
+++ b/tests/node/discovery_stub.rs
@@ -1,6 +1,6 @@
 //! A discovery service that sends the list that a test sets, or misbehaves as the test says.
 
-use super::http::{Message, reply};
+use super::http::{Message, response};
 use super::sockets::loopback;
 use serde_json::{Value, json};
 use std::io::{BufReader, Read, Write};
@@ -15,17 +15,17 @@
     version: u64,
     targets: Vec<Value>,
     /// The targets are the last changes, not the full list.
-    sends_changes: bool,
+    sends_deltas: bool,
     /// Calls are read and never answered.
     ignores_calls: bool,
     /// Calls that were ignored and are still open.
-    ignored_calls: usize,
+    open_ignored_calls: usize,
     /// No call is answered for now.
     holds_answers: bool,
     /// No watch is answered for now; other calls are.
     holds_watches: bool,
     /// Watches are answered at once, with or without a change.
-    answers_at_once: bool,
+    answers_immediately: bool,
     /// So many calls to come are rejected.
     calls_to_reject: u32,
     /// How many calls came.
@@ -38,7 +38,7 @@
     /// Whether a call for changes after a version is to wait, if it may wait until `end`.
     fn must_wait(&self, after: u64, is_watch: bool, end: Instant) -> bool {
         let is_held = self.holds_answers || (self.holds_watches && is_watch);
-        let awaits_change = !self.answers_at_once && self.version <= after && Instant::now() < end;
+        let awaits_change = !self.answers_immediately && self.version <= after && Instant::now() < end;
         is_held || awaits_change
     }
 
@@ -46,13 +46,13 @@
     fn answer(&mut self, after: u64) -> Vec<u8> {
         if self.calls_to_reject > 0 {
             self.calls_to_reject -= 1;
-            return reply("503 Service Unavailable", "", b"");
+            return response("503 Service Unavailable", "", b"");
         }
         let has_changes = self.version > after;
         let targets = if has_changes { self.targets.as_slice() } else { &[] };
-        let is_complete = has_changes && !self.sends_changes;
+        let is_complete = has_changes && !self.sends_deltas;
         let body = json!({"rev": self.version, "all": is_complete, "targets": targets});
-        reply("200 OK", "", body.to_string().as_bytes())
+        response("200 OK", "", body.to_string().as_bytes())
     }
 }
 
@@ -101,11 +101,11 @@
             state.calls += 1;
             state.call_lines.push(message.first_line.clone());
             if state.ignores_calls {
-                state.ignored_calls += 1;
+                state.open_ignored_calls += 1;
                 drop(state);
                 // The end of the connection shows that the caller has given up.
                 let _ = reader.read(&mut [0]);
-                self.state.0.lock().unwrap().ignored_calls -= 1;
+                self.state.0.lock().unwrap().open_ignored_calls -= 1;
                 return;
             }
             while state.must_wait(after, wait_ms > 0, end) {
@@ -128,14 +128,14 @@
     }
 
     /// Sets the version and the list without waking a watch, as a service that counts versions anew.
-    pub fn restart_versions(&self, version: u64, targets: Vec<Value>) {
+    pub fn set_version_without_notifying(&self, version: u64, targets: Vec<Value>) {
         let mut state = self.state.0.lock().unwrap();
         (state.version, state.targets) = (version, targets);
     }
 
     /// Sends these entries as the changes of a new version.
-    pub fn set_changes(&self, targets: Vec<Value>) {
-        self.state.0.lock().unwrap().sends_changes = true;
+    pub fn set_delta(&self, targets: Vec<Value>) {
+        self.state.0.lock().unwrap().sends_deltas = true;
         self.set(targets);
     }
 
@@ -145,8 +145,8 @@
     }
 
     /// How many ignored calls are still open.
-    pub fn ignored_calls(&self) -> usize {
-        self.state.0.lock().unwrap().ignored_calls
+    pub fn open_ignored_calls(&self) -> usize {
+        self.state.0.lock().unwrap().open_ignored_calls
     }
 
     /// Whether answers wait until this is revoked.
@@ -161,15 +161,15 @@
     }
 
     /// Holds the answers to watches alone, and rejects so many other calls.
-    pub fn reject_calls_beside_watches(&self, calls: u32) {
+    pub fn hold_watches_and_reject_polls(&self, calls: u32) {
         let mut state = self.state.0.lock().unwrap();
         (state.holds_answers, state.holds_watches, state.calls_to_reject) = (false, true, calls);
         self.state.1.notify_all();
     }
 
     /// Whether watches are answered at once, with or without a change.
-    pub fn answer_at_once(&self, at_once: bool) {
-        self.state.0.lock().unwrap().answers_at_once = at_once;
+    pub fn answer_immediately(&self, at_once: bool) {
+        self.state.0.lock().unwrap().answers_immediately = at_once;
     }
 
     /// The first lines of the calls so far.
@@ -178,7 +178,7 @@
     }
 
     /// How many calls came so far.
-    pub fn calls(&self) -> u32 {
+    pub fn call_count(&self) -> u32 {
         self.state.0.lock().unwrap().calls
     }
 }
--- a/tests/node/endpoint_stub.rs
+++ b/tests/node/endpoint_stub.rs
@@ -1,6 +1,6 @@
 //! Endpoints that do with each request what a script says, and record what they were sent.
 
-use super::http::{Message, reply};
+use super::http::{Message, response};
 use super::waiting::wait_for;
 use serde_json::{Value, json};
 use std::io::{BufReader, Write};
@@ -38,7 +38,7 @@
 
 /// What an endpoint does with a request.
 #[derive(Clone, Debug)]
-pub enum ScriptedReply {
+pub enum ScriptedResponse {
     /// Writes this and keeps the connection.
     Send(Vec<u8>),
     /// Writes this and closes.
@@ -53,19 +53,19 @@
     Silent,
 }
 
-pub fn ok(body: &[u8]) -> ScriptedReply {
-    ScriptedReply::Send(reply("200 OK", "", body))
+pub fn ok(body: &[u8]) -> ScriptedResponse {
+    ScriptedResponse::Send(response("200 OK", "", body))
 }
 
 /// What an endpoint does with its n-th request.
-pub type Script = Arc<dyn Fn(usize, &Message) -> ScriptedReply + Send + Sync>;
+pub type Script = Arc<dyn Fn(usize, &Message) -> ScriptedResponse + Send + Sync>;
 
 /// What endpoints were sent; several may share one.
 #[derive(Clone, Default)]
 pub struct RequestRecord {
     pub requests: Arc<Mutex<Vec<Message>>>,
-    pub opened: Arc<AtomicU32>,
-    pub closed: Arc<AtomicU32>,
+    pub connections_opened: Arc<AtomicU32>,
+    pub connections_closed: Arc<AtomicU32>,
     /// The longest measured pause between two parts of a response: a busy machine makes it longer than scripted.
     pub longest_pause_ms: Arc<AtomicU64>,
 }
@@ -75,15 +75,15 @@
         self.requests.lock().unwrap().len()
     }
 
-    pub fn open_now(&self) -> u32 {
-        self.opened.load(Ordering::SeqCst) - self.closed.load(Ordering::SeqCst)
+    pub fn open_connections(&self) -> u32 {
+        self.connections_opened.load(Ordering::SeqCst) - self.connections_closed.load(Ordering::SeqCst)
     }
 }
 
 /// Starts an endpoint. `script` gets the number of the request over all endpoints of the record, from 0.
 pub fn start_endpoint(
     record: &RequestRecord,
-    script: impl Fn(usize, &Message) -> ScriptedReply + Send + Sync + 'static,
+    script: impl Fn(usize, &Message) -> ScriptedResponse + Send + Sync + 'static,
 ) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
@@ -95,7 +95,7 @@
 pub fn start_endpoints(
     count: usize,
     record: &RequestRecord,
-    script: impl Fn(usize, &Message) -> ScriptedReply + Send + Sync + 'static,
+    script: impl Fn(usize, &Message) -> ScriptedResponse + Send + Sync + 'static,
 ) -> Vec<SocketAddr> {
     let script: Script = Arc::new(script);
     (0..count)
@@ -115,7 +115,7 @@
         for stream in listener.incoming() {
             let Ok(stream) = stream else { return };
             let (record, script) = (record.clone(), script.clone());
-            record.opened.fetch_add(1, Ordering::SeqCst);
+            record.connections_opened.fetch_add(1, Ordering::SeqCst);
             thread::spawn(move || serve_connection(stream, &record, &script));
         }
     });
@@ -135,25 +135,25 @@
         }
     }
     drop((stream, reader));
-    record.closed.fetch_add(1, Ordering::SeqCst);
+    record.connections_closed.fetch_add(1, Ordering::SeqCst);
 }
 
 /// Carries out a reply; false where the connection is to be closed after it.
-fn perform(reply: ScriptedReply, stream: &mut TcpStream, record: &RequestRecord) -> bool {
+fn perform(response: ScriptedResponse, stream: &mut TcpStream, record: &RequestRecord) -> bool {
     // The node may have closed the connection meanwhile.
     let mut write = |bytes: &[u8]| drop(stream.write_all(bytes));
-    match reply {
-        ScriptedReply::Send(bytes) => write(&bytes),
-        ScriptedReply::SendAndClose(bytes) => {
+    match response {
+        ScriptedResponse::Send(bytes) => write(&bytes),
+        ScriptedResponse::SendAndClose(bytes) => {
             write(&bytes);
             return false;
         }
-        ScriptedReply::SendAndCloseLater(bytes) => {
+        ScriptedResponse::SendAndCloseLater(bytes) => {
             write(&bytes);
             thread::sleep(CLOSE_DELAY);
             return false;
         }
-        ScriptedReply::SendInTwoParts(first, pause, second) => {
+        ScriptedResponse::SendInTwoParts(first, pause, second) => {
             write(&first);
             let paused_at = Instant::now();
             thread::sleep(pause);
@@ -161,12 +161,12 @@
             record.longest_pause_ms.fetch_max(paused_ms, Ordering::SeqCst);
             write(&second);
         }
-        ScriptedReply::SendWhenOpen(gate, bytes) => {
+        ScriptedResponse::SendWhenOpen(gate, bytes) => {
             gate.wait();
             write(&bytes);
             gate.answers.fetch_add(1, Ordering::SeqCst);
         }
-        ScriptedReply::Silent => {}
+        ScriptedResponse::Silent => {}
     }
     true
 }
--- a/tests/node/faults.rs
+++ b/tests/node/faults.rs
@@ -12,28 +12,28 @@
 /// What can be made to fail, in the order of the library's control file. A rate of N fails one call in N.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u64)]
-pub enum SyscallFault {
+pub enum FaultSetting {
     Seed,
     WallOffsetMs,
     InterruptedIo,
     ShortIo,
-    ShortBytes,
+    ShortIoBytes,
     InterruptedWait,
-    AcceptFails,
-    ConnectFails,
-    SocketFails,
-    BrokenIo,
-    HeldSend,
-    HoldMs,
-    WriteFails,
-    WriteHalves,
-    SyncFails,
-    RenameFails,
-    KillInWrite,
-    HeldRename,
+    FailedAccept,
+    FailedConnect,
+    FailedSocket,
+    BrokenConnection,
+    DelayedSend,
+    DelayMs,
+    FailedWrite,
+    PartialWrite,
+    FailedSync,
+    FailedRename,
+    KillDuringWrite,
+    DelayedRename,
 }
 
-const NUMBERS: usize = SyscallFault::HeldRename as usize + 1;
+const NUMBERS: usize = FaultSetting::DelayedRename as usize + 1;
 
 /// The library, built once for each test binary.
 fn library() -> &'static Path {
@@ -65,11 +65,11 @@
         std::fs::write(&path, vec![0; NUMBERS * 8]).unwrap();
         let file = File::options().write(true).open(&path).unwrap();
         let faults = SyscallFaults { path, file };
-        faults.set(SyscallFault::Seed, seed);
+        faults.set(FaultSetting::Seed, seed);
         faults
     }
 
-    pub fn set(&self, fault: SyscallFault, value: i64) {
+    pub fn set(&self, fault: FaultSetting, value: i64) {
         self.file.write_all_at(&value.to_ne_bytes(), fault as u64 * 8).unwrap();
     }
 
--- a/tests/node/http.rs
+++ b/tests/node/http.rs
@@ -46,7 +46,7 @@
 }
 
 /// A response in full.
-pub fn reply(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
+pub fn response(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes =
         format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
--- a/tests/node/node_process.rs
+++ b/tests/node/node_process.rs
@@ -3,14 +3,14 @@
 use super::client::try_request;
 use super::faults::SyscallFaults;
 use super::sockets::free_address;
-use super::waiting::{PATIENCE, wait_for};
+use super::waiting::{WAIT_TIMEOUT, wait_for};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-pub fn settings() -> Value {
+pub fn default_settings() -> Value {
     json!({
         "areas": ["a", "b"], "zone": "a", "instances": 1, "slotNo": 0, "tickMs": 5.0,
         "membershipMode": "pushed",
@@ -45,7 +45,7 @@
     }
 
     /// The same, with system calls that fail.
-    pub fn start_with(
+    pub fn start_with_faults(
         discovery: SocketAddr,
         faults: &SyscallFaults,
         change: impl FnOnce(&mut Value),
@@ -61,17 +61,17 @@
     }
 
     /// Starts one that inherits a listening socket as descriptor 3, without waiting for it.
-    pub fn inherit(
+    pub fn launch_inheriting(
         discovery: SocketAddr,
         listener: &TcpListener,
         tmp: &std::path::Path,
         change: impl FnOnce(&mut Value),
     ) -> Node {
-        Node::inherit_with(discovery, listener, tmp, change, |_| {})
+        Node::launch_inheriting_with(discovery, listener, tmp, change, |_| {})
     }
 
     /// The same, with a word on how its process is started.
-    pub fn inherit_with(
+    pub fn launch_inheriting_with(
         discovery: SocketAddr,
         listener: &TcpListener,
         tmp: &std::path::Path,
@@ -103,7 +103,7 @@
         let mut config = json!({
             "name": "n0", "listen": address.to_string(), "discovery": discovery.to_string(),
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"rev": 0, "all": true, "targets": []}, "settings": settings()
+            "known": {"rev": 0, "all": true, "targets": []}, "settings": default_settings()
         });
         change(&mut config);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -143,10 +143,10 @@
     }
 
     /// The same while the node stands still, and has it meet the notice to stop in the same turn.
-    pub fn reload_and_terminate_while_stopped(&mut self, discovery: SocketAddr) {
+    pub fn reload_and_terminate_while_suspended(&mut self, discovery: SocketAddr) {
         self.config["discovery"] = discovery.to_string().into();
         std::fs::write(&self.file, self.config.to_string()).unwrap();
-        self.while_stopped(|| {
+        self.while_suspended(|| {
             self.signal("-HUP");
             self.terminate();
         });
@@ -163,12 +163,12 @@
             .map_or(0, |m| m.status())
     }
 
-    pub fn descriptors(&self) -> usize {
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
     /// Memory that it has in use.
-    pub fn memory_kb(&self) -> u64 {
+    pub fn resident_memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmRSS")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
@@ -182,7 +182,7 @@
     }
 
     /// Does something while the node stands still, so that it meets all of it in one turn.
-    pub fn while_stopped<T>(&self, act: impl FnOnce() -> T) -> T {
+    pub fn while_suspended<T>(&self, act: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.pid());
         let state = || std::fs::read_to_string(&stat).unwrap().rsplit(") ").next().unwrap().chars().next();
@@ -233,8 +233,8 @@
 
 /// What a console answers to some bytes, all of it up to its close.
 pub fn admin_command(console: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect_timeout(&console, PATIENCE).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    let mut stream = TcpStream::connect_timeout(&console, WAIT_TIMEOUT).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(bytes).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
--- a/tests/node/sockets.rs
+++ b/tests/node/sockets.rs
@@ -1,6 +1,6 @@
 //! Addresses and sockets on loopback, and what the system says of them.
 
-use super::waiting::PATIENCE;
+use super::waiting::WAIT_TIMEOUT;
 use socket2::{Domain, Socket, Type};
 use std::io::Read;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
@@ -18,7 +18,7 @@
 /// All bytes of the next connection.
 pub fn accept_and_read_to_end(listener: &Socket) -> String {
     let mut stream = TcpStream::from(listener.accept().unwrap().0);
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).unwrap();
     String::from_utf8_lossy(&bytes).into_owned()
@@ -28,12 +28,12 @@
 pub const SYN_SENT: &str = "02";
 
 /// Whether a socket to `remote` is in that state.
-pub fn tcp_state(remote: SocketAddr, state: &str) -> bool {
-    tcp_count(remote, state) > 0
+pub fn has_tcp_socket_in_state(remote: SocketAddr, state: &str) -> bool {
+    count_tcp_sockets_in_state(remote, state) > 0
 }
 
 /// How many sockets to `remote` are in that state.
-pub fn tcp_count(remote: SocketAddr, state: &str) -> usize {
+pub fn count_tcp_sockets_in_state(remote: SocketAddr, state: &str) -> usize {
     let sockets = std::fs::read_to_string("/proc/net/tcp").unwrap();
     sockets.matches(&format!(":{:04X} {state}", remote.port())).count()
 }
--- a/tests/node/state.rs
+++ b/tests/node/state.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 /// Writes what stood in such a file, changed: the checksum of its first line follows.
-pub fn write(path: &Path, text: &str) {
+pub fn write_updating_checksum(path: &Path, text: &str) {
     let text = match text.split_once('\n') {
         Some((first, body)) if first.starts_with("node-state") => with_checksum(body),
         _ => text.to_owned(),
--- a/tests/node/waiting.rs
+++ b/tests/node/waiting.rs
@@ -4,15 +4,15 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait for anything that should happen.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Waits until `done`, for `PATIENCE` at most.
+/// Waits until `done`, for `WAIT_TIMEOUT` at most.
 pub fn wait_for(what: &str, done: impl FnMut() -> bool) {
-    wait_by(Instant::now() + PATIENCE, what, done);
+    wait_until(Instant::now() + WAIT_TIMEOUT, what, done);
 }
 
 /// Waits until `done`, which must be so by `end`.
-pub fn wait_by(end: Instant, what: &str, mut done: impl FnMut() -> bool) {
+pub fn wait_until(end: Instant, what: &str, mut done: impl FnMut() -> bool) {
     while !done() {
         assert!(Instant::now() < end, "not so in time: {what}");
         thread::sleep(Duration::from_millis(2));
--- a/tests/node_admin.rs
+++ b/tests/node_admin.rs
@@ -62,12 +62,12 @@
     let mut silent: Vec<_> = (0..100).map(|_| TcpStream::connect(node.admin_address()).unwrap()).collect();
     silent.iter_mut().for_each(|s| s.write_all(b"rea").unwrap());
     assert_eq!(node.admin_command("ready"), "done takes clients\n");
-    assert!(node.descriptors() < 60, "{} descriptors", node.descriptors());
+    assert!(node.descriptor_count() < 60, "{} descriptors", node.descriptor_count());
     // The last of them is still there and may finish its call.
     let mut last = silent.pop().unwrap();
     last.write_all(b"dy\n").unwrap();
     let mut answer = String::new();
-    last.set_read_timeout(Some(PATIENCE)).unwrap();
+    last.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     last.read_to_string(&mut answer).unwrap();
     assert_eq!(answer, "done takes clients\n");
 }
@@ -111,9 +111,9 @@
     // What is asked on an open connection is answered, and the connection ends with it.
     let last = used.send_and_receive(&request("page", 4000));
     assert_eq!((last.status(), last.header("connection")), (200, Some("close")));
-    assert!(used.response().is_none());
+    assert!(used.read_response().is_none());
     // So does one that asks nothing more.
-    assert!(idle.response().is_none(), "an idle connection is closed");
+    assert!(idle.read_response().is_none(), "an idle connection is closed");
     // Who comes all the same is served.
     assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200);
     for _ in 0..2 {
@@ -133,15 +133,16 @@
 fn a_request_in_progress_is_answered_during_a_drain() {
     let record = RequestRecord::default();
     let rest = Duration::from_millis(1200);
-    let slow =
-        move |_, _: &Message| ScriptedReply::SendInTwoParts(Vec::new(), rest, reply("200 OK", "", b"late"));
+    let slow = move |_, _: &Message| {
+        ScriptedResponse::SendInTwoParts(Vec::new(), rest, response("200 OK", "", b"late"))
+    };
     let discovery = DiscoveryStub::start(all_up(&start_endpoints(1, &record, slow)));
     let node = Node::start(discovery.address, |c| c["console"] = free_address().to_string().into());
     let mut client = Client::connect(node.address);
     client.send(&request("page", 4000));
     wait_for("it is under way", || record.count() == 1);
     assert!(node.admin_command("drain").starts_with("done "));
-    assert_eq!(client.response().unwrap().body, b"late");
+    assert_eq!(client.read_response().unwrap().body, b"late");
 }
 
 /// A node and its endpoints, named s-0, s-1, ..., each with a record of its own.
@@ -173,12 +174,12 @@
     for _ in 0..2 {
         assert!(node.admin_command("disable-server s-0").starts_with("done "));
     }
-    wait_for("its idle connections are closed", || records[0].open_now() == 0);
+    wait_for("its idle connections are closed", || records[0].open_connections() == 0);
     let before = records[0].count();
-    let calls = discovery.calls();
+    let calls = discovery.call_count();
     discovery.set(vec![target("s-1", addresses[1], "up")]);
     discovery.set(all_up(&addresses));
-    wait_for("the list is taken", || discovery.calls() > calls + 1);
+    wait_for("the list is taken", || discovery.call_count() > calls + 1);
     asked(50);
     assert_eq!(records[0].count(), before, "asked though out of service");
     // One call back undoes both.
@@ -200,9 +201,9 @@
         );
     }
     assert!(node.admin_command("disable-server s-0").starts_with("done "));
-    let calls = discovery.calls();
+    let calls = discovery.call_count();
     discovery.set(vec![target("s-1", addresses[1], "up")]);
-    wait_for("the list is taken", || discovery.calls() > calls);
+    wait_for("the list is taken", || discovery.call_count() > calls);
     // The list has forgotten it, the node has not.
     assert!(node.admin_command("enable-server s-0").starts_with("done "));
     assert!(node.admin_command("enable-server s-0").starts_with("error "));
@@ -236,7 +237,7 @@
         // Longer than idle connections are left open.
         std::thread::sleep(Duration::from_millis(1500));
         client.send(halves[1]);
-        let answer = client.response().expect(what);
+        let answer = client.read_response().expect(what);
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")), "{what}");
     };
     for asked in [false, true] {
@@ -255,7 +256,7 @@
 #[test]
 fn admin_commands_are_answered_at_the_descriptor_limit() {
     let record = RequestRecord::default();
-    let silent = start_endpoints(12, &record, |_, _| ScriptedReply::Silent);
+    let silent = start_endpoints(12, &record, |_, _| ScriptedResponse::Silent);
     let discovery = DiscoveryStub::start(all_up(&silent));
     let node = Node::start(discovery.address, |c| {
         c["console"] = free_address().to_string().into();
@@ -264,11 +265,11 @@
     // Each of these takes two places: its own and that of the attempt made for it.
     let mut clients: Vec<_> = (0..60).filter_map(|_| Client::try_connect(node.address)).collect();
     clients.iter_mut().for_each(|c| assert!(c.send(&request("page", 4000))));
-    wait_for("they hold what there is", || record.open_now() >= 24);
+    wait_for("they hold what there is", || record.open_connections() >= 24);
     let mut silent = Vec::new();
     for _ in 0..40 {
         silent.push(TcpStream::connect(node.admin_address()).unwrap());
         assert_eq!(node.admin_command("ready"), "done takes clients\n");
-        assert!(node.descriptors() <= 96, "{} descriptors", node.descriptors());
+        assert!(node.descriptor_count() <= 96, "{} descriptors", node.descriptor_count());
     }
 }
--- a/tests/node_clients.rs
+++ b/tests/node_clients.rs
@@ -112,7 +112,7 @@
                 assert!(client.send(part), "{status}: closed before the body was read");
                 thread::sleep(Duration::from_micros(300));
             }
-            assert_eq!(client.response().map(|m| m.status()), Some(status));
+            assert_eq!(client.read_response().map(|m| m.status()), Some(status));
         }
     }
     assert_eq!(record.count(), 0);
@@ -129,7 +129,7 @@
     for n in 0..200 {
         let mut client = Client::connect(node.address);
         assert_eq!(client.send_and_receive(&request("bid", 900)).status(), 200, "client {n}");
-        assert!(node.descriptors() <= 64, "{} descriptors", node.descriptors());
+        assert!(node.descriptor_count() <= 64, "{} descriptors", node.descriptor_count());
         clients.push(client);
     }
     assert_eq!(record.count(), 200);
@@ -189,7 +189,7 @@
         client.send(b"GET /api HT");
     }
     assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200);
-    assert!(node.descriptors() <= 44, "{} descriptors", node.descriptors());
+    assert!(node.descriptor_count() <= 44, "{} descriptors", node.descriptor_count());
 }
 
 #[test]
@@ -207,7 +207,7 @@
     for client in &mut clients {
         client.send(&request("page", 3500));
     }
-    let statuses: Vec<u16> = clients.iter_mut().filter_map(|c| Some(c.response()?.status())).collect();
+    let statuses: Vec<u16> = clients.iter_mut().filter_map(|c| Some(c.read_response()?.status())).collect();
     assert!(statuses.contains(&200), "{statuses:?}");
     assert!(statuses.iter().all(|s| matches!(s, 200 | 503)), "{statuses:?}");
     drop(clients);
@@ -235,7 +235,7 @@
     (0..40).for_each(|_| press());
     wait_for("the node is at the limit", || {
         press();
-        node.descriptors() >= 15
+        node.descriptor_count() >= 15
     });
     let before = node.cpu_ticks();
     for _ in 0..50 {
@@ -331,20 +331,20 @@
             );
             wait_for("/up is 200", || node.readiness_status() == 200);
             // What it holds by itself, some of it inherited: that differs from one machine to the next.
-            let few = (0..100).map(|_| node.descriptors()).min().unwrap_or_default();
+            let few = (0..100).map(|_| node.descriptor_count()).min().unwrap_or_default();
             let idlers = Idlers::fill(&node);
             // More find no place: that is the clients' part of the lower limit.
-            wait_for("idle clients hold the places", || node.descriptors() >= few + 6);
+            wait_for("idle clients hold the places", || node.descriptor_count() >= few + 6);
             // Discovery comes back, and one of its endpoints drains.
             let mut targets = all_up(&addresses);
             targets[0] = target("s-0", addresses[0], "draining");
             let discovery = DiscoveryStub::start_at(place, targets.clone());
             discovery.set(targets);
-            wait_by(Instant::now() + Duration::from_secs(6), "its list is asked for", || {
+            wait_until(Instant::now() + Duration::from_secs(6), "its list is asked for", || {
                 // The watch after the call that was answered.
-                discovery.calls() >= 2
+                discovery.call_count() >= 2
             });
-            assert_only_staying_serves(&node, &leaving, &staying);
+            assert_draining_endpoint_gets_no_requests(&node, &leaving, &staying);
             assert!(node.admin_command("disable-server s-1").starts_with("done"), "{told} {system} {mode}");
             assert_eq!(node.readiness_status(), 503);
             drop(idlers);
--- a/tests/node_clock.rs
+++ b/tests/node_clock.rs
@@ -1,7 +1,7 @@
 //! The wall clock may be stepped, forward or back: a restarted server is cold for its time all the same.
 mod node;
 
-use node::faults::{SyscallFault, SyscallFaults};
+use node::faults::{FaultSetting, SyscallFaults};
 use node::*;
 use serde_json::Value;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -56,10 +56,10 @@
         let before = wall_ms() - 60_000;
         let mut site = Site::new(before);
         let faults = SyscallFaults::new(1);
-        let node = Node::start_with(site.discovery.address, &faults, |_| {});
+        let node = Node::start_with_faults(site.discovery.address, &faults, |_| {});
         let share = site.share(&node, 90);
         assert!(share >= 10, "{share} of 90 while it is warm");
-        faults.set(SyscallFault::WallOffsetMs, -step);
+        faults.set(FaultSetting::WallOffsetMs, -step);
         // By the stepped clock, and for an hour before the time of its last start.
         site.restarted(wall_ms() - step);
         site.becomes_cold(&node);
@@ -70,11 +70,11 @@
 fn slow_start_ends_in_time_after_the_wall_clock_jumped_forward() {
     let mut site = Site::new(0);
     let faults = SyscallFaults::new(2);
-    let node = Node::start_with(site.discovery.address, &faults, |c| {
+    let node = Node::start_with_faults(site.discovery.address, &faults, |c| {
         c["settings"]["rules"]["coldMs"] = 1500.0.into();
         c["settings"]["rules"]["startCapacity"] = 0.01.into();
     });
-    faults.set(SyscallFault::WallOffsetMs, HOUR_MS);
+    faults.set(FaultSetting::WallOffsetMs, HOUR_MS);
     site.restarted(wall_ms() + HOUR_MS);
     wait_for("it has warmed", || site.share(&node, 90) >= 20);
 }
@@ -83,7 +83,7 @@
 fn a_start_time_in_the_future_counts_as_now() {
     let mut site = Site::new(0);
     let faults = SyscallFaults::new(3);
-    let node = Node::start_with(site.discovery.address, &faults, |c| {
+    let node = Node::start_with_faults(site.discovery.address, &faults, |c| {
         c["settings"]["rules"]["coldMs"] = 1500.0.into();
         c["settings"]["rules"]["startCapacity"] = 0.01.into();
     });
@@ -96,10 +96,10 @@
 fn a_wall_clock_jump_forward_ends_no_slow_start() {
     let mut site = Site::new(0);
     let faults = SyscallFaults::new(4);
-    let node = Node::start_with(site.discovery.address, &faults, |_| {});
+    let node = Node::start_with_faults(site.discovery.address, &faults, |_| {});
     site.restarted(wall_ms());
     site.becomes_cold(&node);
-    faults.set(SyscallFault::WallOffsetMs, HOUR_MS);
+    faults.set(FaultSetting::WallOffsetMs, HOUR_MS);
     // Told once more, as it stands, along with something else.
     site.targets[1]["capacity_hint"] = 1.01.into();
     site.discovery.set(site.targets.clone());
--- a/tests/node_discovery_list.rs
+++ b/tests/node_discovery_list.rs
@@ -34,9 +34,9 @@
             [start_endpoint(&leaving, |_, _| ok(b"x")), start_endpoint(&staying, |_, _| ok(b"x"))];
         let discovery = DiscoveryStub::start(all_up(&addresses));
         let node = Node::start(discovery.address, |_| {});
-        wait_for("a watch is out", || discovery.calls() >= 2);
-        discovery.set_changes(vec![entry.clone()]);
-        wait_for("the next watch is out", || discovery.calls() >= 3);
+        wait_for("a watch is out", || discovery.call_count() >= 2);
+        discovery.set_delta(vec![entry.clone()]);
+        wait_for("the next watch is out", || discovery.call_count() >= 3);
         for _ in 0..20 {
             assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200, "{entry}");
         }
@@ -51,8 +51,8 @@
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     discovery.set(vec![json!(1), json!({"id": "s-0"}), json!("what?")]);
-    let calls = discovery.calls();
-    wait_for("it is asked for again", || discovery.calls() >= calls + 2);
+    let calls = discovery.call_count();
+    wait_for("it is asked for again", || discovery.call_count() >= calls + 2);
     assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200, "the old list holds");
 }
 
@@ -61,12 +61,12 @@
     let record = RequestRecord::default();
     let addresses = start_endpoints(1, &record, |_, _| ok(b"x"));
     let discovery = DiscoveryStub::start(all_up(&addresses));
-    discovery.restart_versions(41, all_up(&addresses));
+    discovery.set_version_without_notifying(41, all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["settings"]["membershipMode"] = "on_request".into());
-    wait_for("a watch is out", || discovery.calls() >= 2);
-    discovery.restart_versions(1, vec![target("s-0", addresses[0], "draining")]);
+    wait_for("a watch is out", || discovery.call_count() >= 2);
+    discovery.set_version_without_notifying(1, vec![target("s-0", addresses[0], "draining")]);
     // Nothing newer than that will come in the time that its watch may wait.
-    wait_by(Instant::now() + 3 * PATIENCE, "the whole list is asked for", || {
+    wait_until(Instant::now() + 3 * WAIT_TIMEOUT, "the whole list is asked for", || {
         node.readiness_status() == 503
     });
 }
--- a/tests/node_discovery_start.rs
+++ b/tests/node_discovery_start.rs
@@ -21,7 +21,7 @@
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let known = known(all_up(&addresses));
     let _node = Node::launch(discovery.address, |c| c["known"] = known, "exec \"$0\"");
-    wait_for("discovery is asked", || discovery.calls() > 0);
+    wait_for("discovery is asked", || discovery.call_count() > 0);
     discovery.call_lines()[0].clone()
 }
 
@@ -54,9 +54,9 @@
         c["settings"]["instances"] = 300.into();
     };
     let node = Node::launch(discovery.address, many, "exec \"$0\"");
-    wait_for("a call that gets no answer is made again", || discovery.calls() >= 2);
+    wait_for("a call that gets no answer is made again", || discovery.call_count() >= 2);
     discovery.hold_answers(false);
-    wait_by(begun + Duration::from_secs(10), "/up is 200", || node.readiness_status() == 200);
+    wait_until(begun + Duration::from_secs(10), "/up is 200", || node.readiness_status() == 200);
 }
 
 #[test]
@@ -80,11 +80,11 @@
             },
             "exec \"$0\"",
         );
-        wait_for("discovery is asked", || discovery.calls() > 0);
+        wait_for("discovery is asked", || discovery.call_count() > 0);
         assert_eq!(node.readiness_status(), 503, "{mode}: ready by a list of unknown age");
         discovery.hold_answers(false);
         wait_for("/up is 200", || node.readiness_status() == 200);
-        assert_only_staying_serves(&node, &leaving, &staying);
+        assert_draining_endpoint_gets_no_requests(&node, &leaving, &staying);
     }
 }
 
@@ -116,7 +116,7 @@
     };
     let node = Node::launch(discovery.address, asks, "exec \"$0\"");
     // Less than it would wait for a call that waits its turn.
-    wait_by(begun + Duration::from_secs(4), "/up is 200", || node.readiness_status() == 200);
+    wait_until(begun + Duration::from_secs(4), "/up is 200", || node.readiness_status() == 200);
 }
 
 #[test]
@@ -133,7 +133,7 @@
         c["known"] = known;
     };
     let node = Node::launch(discovery.address, many, "exec \"$0\"");
-    wait_by(begun + Duration::from_secs(6), "/up is 200", || node.readiness_status() == 200);
+    wait_until(begun + Duration::from_secs(6), "/up is 200", || node.readiness_status() == 200);
     assert_eq!(send_request(node.address, &request("page", 900)).status(), 200);
 }
 
@@ -167,8 +167,8 @@
         },
         "exec \"$0\"",
     );
-    wait_for("the list is asked for", || discovery.calls() >= 1);
-    wait_by(Instant::now() + Duration::from_secs(6), "it is again", || discovery.calls() >= 2);
+    wait_for("the list is asked for", || discovery.call_count() >= 1);
+    wait_until(Instant::now() + Duration::from_secs(6), "it is again", || discovery.call_count() >= 2);
     discovery.hold_answers(false);
     wait_for("the list is there", || node.readiness_status() == 200);
 }
--- a/tests/node_durable_overrides.rs
+++ b/tests/node_durable_overrides.rs
@@ -1,7 +1,7 @@
 //! A call of the operators that was answered `done` holds whatever becomes of the disk and of the process.
 mod node;
 
-use node::faults::{SyscallFault, SyscallFaults};
+use node::faults::{FaultSetting, SyscallFaults};
 use node::*;
 use serde_json::Value;
 use std::net::TcpListener;
@@ -40,7 +40,13 @@
     fn process(&self, faults: Option<&SyscallFaults>) -> Node {
         let console = |c: &mut Value| c["console"] = free_address().to_string().into();
         let set_up = |c: &mut std::process::Command| faults.into_iter().for_each(|f| f.preload(c));
-        let node = Node::inherit_with(self.discovery.address, &self.socket, &self.folder, console, set_up);
+        let node = Node::launch_inheriting_with(
+            self.discovery.address,
+            &self.socket,
+            &self.folder,
+            console,
+            set_up,
+        );
         wait_for("the process is ready", || {
             std::net::TcpStream::connect(node.admin_address()).is_ok()
                 && node.admin_command("ready").starts_with("done")
@@ -64,10 +70,10 @@
 #[test]
 fn an_acknowledged_override_survives_the_process_despite_disk_errors() {
     for (seed, fault) in (1..).zip([
-        SyscallFault::WriteFails,
-        SyscallFault::WriteHalves,
-        SyscallFault::SyncFails,
-        SyscallFault::RenameFails,
+        FaultSetting::FailedWrite,
+        FaultSetting::PartialWrite,
+        FaultSetting::FailedSync,
+        FaultSetting::FailedRename,
     ]) {
         let site = Site::new(&format!("fails-{seed}"));
         let faults = SyscallFaults::new(seed);
@@ -95,7 +101,7 @@
     let faults = SyscallFaults::new(7);
     let mut node = site.process(Some(&faults));
     assert!(node.admin_command("disable-server s-1").starts_with("done"));
-    faults.set(SyscallFault::KillInWrite, 1);
+    faults.set(FaultSetting::KillDuringWrite, 1);
     let _ = std::panic::catch_unwind(|| node.admin_command("disable-server s-2"));
     wait_for("it is killed", || !node.is_running());
     // A file that was written in place would be cut like this.
@@ -134,8 +140,8 @@
     let old = site.process(Some(&faults));
     let new = site.process(None);
     // The old process is held up between reading the state and replacing it.
-    faults.set(SyscallFault::HoldMs, 50);
-    faults.set(SyscallFault::HeldRename, 1);
+    faults.set(FaultSetting::DelayMs, 50);
+    faults.set(FaultSetting::DelayedRename, 1);
     std::thread::scope(|scope| {
         let first = scope.spawn(|| old.admin_command("disable-server s-0"));
         wait_for("the old process is about to replace the file", || {
@@ -145,7 +151,7 @@
         let first = first.join().unwrap();
         assert!(first.starts_with("done") && second.starts_with("done"), "{first} {second}");
     });
-    faults.set(SyscallFault::HeldRename, 0);
+    faults.set(FaultSetting::DelayedRename, 0);
     drop(old);
     drop(new);
     let next = site.process(None);
@@ -166,7 +172,7 @@
             &format!("\"pid\":{}", node.pid()),
             &format!("\"pid\":{}", std::os::unix::process::parent_id()),
         );
-        state::write(&path, &given_again);
+        state::write_updating_checksum(&path, &given_again);
     }
     let mut next = site.process(None);
     assert_eq!(site.shares(&next)[1], 0, "the state counts all the same");
--- a/tests/node_endpoint_faults.rs
+++ b/tests/node_endpoint_faults.rs
@@ -21,10 +21,10 @@
     let node = Node::start(discovery.address, |c| {
         c["settings"]["clientHabits"]["marksRetry"] = true.into();
     });
-    let usual = send_many(&node, "page", 4000, 40, 4);
+    let usual = send_concurrently(&node, "page", 4000, 40, 4);
     assert!(usual.iter().all(|s| *s == 200), "{usual:?}");
     // Held for last tries, they would be older than the aim, and of no worth.
-    let hurried = send_many(&node, "page", 1500, 40, 4);
+    let hurried = send_concurrently(&node, "page", 1500, 40, 4);
     assert!(hurried.iter().all(|s| *s == 200), "{hurried:?}");
 }
 
@@ -39,9 +39,10 @@
     let mut node = Node::start(discovery.address, |c| {
         c["settings"]["clientHabits"]["marksRetry"] = true.into();
     });
-    let patient = |node: &Node| send_many(node, "page", 4000, 40, 4).iter().filter(|s| **s == 200).count();
+    let patient =
+        |node: &Node| send_concurrently(node, "page", 4000, 40, 4).iter().filter(|s| **s == 200).count();
     assert_eq!(patient(&node), 40);
-    let hurried = send_many(&node, "page", 60, 60, 4);
+    let hurried = send_concurrently(&node, "page", 60, 60, 4);
     assert!(hurried.iter().all(|s| *s != 200), "{hurried:?}");
     assert!(record.count() > 80, "{} written: those in a hurry are tried", record.count());
     assert_eq!(patient(&node), 40);
@@ -57,13 +58,17 @@
     // Bids fail and may have run. The one page that is asked fails at its first attempt.
     let addresses = start_endpoints(3, &record, |n, message| {
         let fails = bid(message) || n == 40;
-        if fails { ScriptedReply::Send(reply("500 Internal Server Error", "", b"")) } else { ok(b"x") }
+        if fails {
+            ScriptedResponse::Send(response("500 Internal Server Error", "", b""))
+        } else {
+            ok(b"x")
+        }
     });
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
-    let bids = send_many(&node, "bid", 900, 40, 1);
+    let bids = send_concurrently(&node, "bid", 900, 40, 1);
     assert_eq!((served(&bids), record.count()), (0, 40), "each is sent once and fails");
-    assert_eq!(send_many(&node, "page", 4000, 1, 1), [200]);
+    assert_eq!(send_concurrently(&node, "page", 4000, 1, 1), [200]);
     assert_eq!(record.count(), 42, "the page was sent again");
 }
 
@@ -75,14 +80,14 @@
             return ok(b"x");
         }
         thread::sleep(Duration::from_millis(30));
-        ScriptedReply::Send(reply("503 Service Unavailable", "X-Never-Ran: 1\r\n", b""))
+        ScriptedResponse::Send(response("503 Service Unavailable", "X-Never-Ran: 1\r\n", b""))
     });
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["settings"]["instances"] = 2.into());
     let mut pages = Vec::new();
     for _ in 0..25 {
-        assert_eq!(served(&send_many(&node, "bid", 900, 2, 1)), 0);
-        pages.extend(send_many(&node, "page", 4000, 1, 1));
+        assert_eq!(served(&send_concurrently(&node, "bid", 900, 2, 1)), 0);
+        pages.extend(send_concurrently(&node, "page", 4000, 1, 1));
     }
     assert!(served(&pages) >= 23, "{pages:?}");
 }
@@ -92,7 +97,7 @@
     let record = RequestRecord::default();
     let mut addresses = start_endpoints(3, &record, |_, _| ok(b"x"));
     let hung = RequestRecord::default();
-    let hang = |_, message: &Message| if bid(message) { ScriptedReply::Silent } else { ok(b"x") };
+    let hang = |_, message: &Message| if bid(message) { ScriptedResponse::Silent } else { ok(b"x") };
     addresses.extend(start_endpoints(2, &hung, hang));
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| {
@@ -101,9 +106,9 @@
     });
     let (mut bids, mut pages) = (Vec::new(), Vec::new());
     for _ in 0..60 {
-        bids.extend(send_many(&node, "bid", 900, 4, 4));
+        bids.extend(send_concurrently(&node, "bid", 900, 4, 4));
         // So many that the endpoints are no failing ones.
-        pages.extend(send_many(&node, "page", 4000, 24, 4));
+        pages.extend(send_concurrently(&node, "page", 4000, 24, 4));
     }
     assert!(served(&bids) >= 170, "{} of 240 bids", served(&bids));
     assert!(served(&pages) >= 1300, "{} of 1440 pages", served(&pages));
--- a/tests/node_handover.rs
+++ b/tests/node_handover.rs
@@ -37,10 +37,10 @@
         with_console(c);
         c["peer_listen"] = peers.clone().into();
     };
-    let mut old = Node::inherit(discovery.address, &socket, &folder, with_console);
+    let mut old = Node::launch_inheriting(discovery.address, &socket, &folder, with_console);
     wait_for("the old process is ready", || old.readiness_status() == 200);
     for _ in 0..2 {
-        let new = Node::inherit(discovery.address, &socket, &folder, with_console);
+        let new = Node::launch_inheriting(discovery.address, &socket, &folder, with_console);
         wait_for("the new process is ready", || call_if(&new, "ready").starts_with("done"));
         old.terminate();
         // Whoever comes meanwhile is served by one of them.
@@ -108,10 +108,10 @@
     let (records, discovery) = three_backends();
     let socket = TcpListener::bind(free_address()).unwrap();
     let folder = folder("ban");
-    let old = Node::inherit(discovery.address, &socket, &folder, with_console);
+    let old = Node::launch_inheriting(discovery.address, &socket, &folder, with_console);
     wait_for("the old process is ready", || old.readiness_status() == 200);
     assert!(old.admin_command("disable-server s-0").starts_with("done"));
-    let mut new = Node::inherit(discovery.address, &socket, &folder, with_console);
+    let mut new = Node::launch_inheriting(discovery.address, &socket, &folder, with_console);
     wait_for("the new process is ready", || call_if(&new, "ready").starts_with("done"));
     ask_many(&new, 40);
     assert_eq!(records[0].count(), 0, "out of service for both");
@@ -140,15 +140,15 @@
     let (_, discovery) = three_backends();
     let socket = TcpListener::bind(free_address()).unwrap();
     let folder = folder("overwritten");
-    let old = Node::inherit(discovery.address, &socket, &folder, with_console);
+    let old = Node::launch_inheriting(discovery.address, &socket, &folder, with_console);
     wait_for("the old process is ready", || old.readiness_status() == 200);
-    let new = Node::inherit(discovery.address, &socket, &folder, with_console);
+    let new = Node::launch_inheriting(discovery.address, &socket, &folder, with_console);
     wait_for("the new process is ready", || call_if(&new, "ready").starts_with("done"));
     let file = folder.join("node-calls.json");
     assert!(old.admin_command("disable-server s-2").starts_with("done"));
     assert!(new.admin_command("enable-server s-2").starts_with("done in service"));
     // The new process has read the file, is about to write it, and writes what was in it before the call.
-    new.while_stopped(|| {
+    new.while_suspended(|| {
         let before = std::fs::read(&file).unwrap();
         assert!(old.admin_command("disable-server s-1").starts_with("done out of service"));
         std::fs::write(&file, before).unwrap();
@@ -176,7 +176,7 @@
             std::fs::write(folder.join(file), text).unwrap();
         }
         let _ = std::fs::remove_file(folder.join("node-state.json.last"));
-        let mut node = Node::inherit(discovery.address, &socket, &folder, with_console);
+        let mut node = Node::launch_inheriting(discovery.address, &socket, &folder, with_console);
         wait_for("it is ready", || node.readiness_status() == 200);
         ask_many(&node, 1);
         node.terminate();
@@ -192,11 +192,11 @@
     let (records, discovery) = three_backends();
     let socket = TcpListener::bind(free_address()).unwrap();
     let folder = folder("stop");
-    let mut old = Node::inherit(discovery.address, &socket, &folder, with_console);
+    let mut old = Node::launch_inheriting(discovery.address, &socket, &folder, with_console);
     wait_for("the old process is ready", || old.readiness_status() == 200);
     let mut kept = Client::connect(old.address);
     assert_eq!(kept.send_and_receive(&request("page", 4000)).status(), 200);
-    let mut new = Node::inherit(discovery.address, &socket, &folder, with_console);
+    let mut new = Node::launch_inheriting(discovery.address, &socket, &folder, with_console);
     wait_for("the new process is ready", || call_if(&new, "ready").starts_with("done"));
     // The old one may have written its state just as the new one declared itself.
     let file = folder.join("node-state.json");
@@ -206,7 +206,7 @@
     let text = std::fs::read_to_string(&file).unwrap();
     let draft = folder.join("draft");
     // With the number also the time of its start: that of the new process is in the file.
-    state::write(&draft, &text.replace(&identity(new.pid()), &identity(old.pid())));
+    state::write_updating_checksum(&draft, &text.replace(&identity(new.pid()), &identity(old.pid())));
     std::fs::rename(draft, &file).unwrap();
     wait_for("the new process declares itself again", || named(new.pid()));
     // Once the old one goes by a call to the new one, unasked, it has seen who serves beside it.
@@ -219,7 +219,7 @@
     old.terminate();
     assert!(old.wait_for_exit().success());
     // On its kept connection the old one said nothing more than goodbye, and the new one serves all that come.
-    assert!(kept.response().is_none());
+    assert!(kept.read_response().is_none());
     ask_many(&new, 20);
     let log = old.log();
     let met = |pid: u32| format!("handover: process {pid} serves beside this one");
@@ -251,11 +251,11 @@
     for (list, behind) in [("3", false), ("null", false), ("4", true), ("present", true)] {
         let text = if list == "present" { present.clone() } else { first_version.replace("LIST", list) };
         std::fs::write(folder.join("node-state.json"), text).unwrap();
-        let calls = discovery.calls();
-        let mut node = Node::inherit(discovery.address, &socket, &folder, asked);
+        let calls = discovery.call_count();
+        let mut node = Node::launch_inheriting(discovery.address, &socket, &folder, asked);
         wait_for("it listens", || node.readiness_status() == 200);
         if behind {
-            wait_for("discovery is asked", || discovery.calls() > calls);
+            wait_for("discovery is asked", || discovery.call_count() > calls);
         }
         node.terminate();
         assert!(node.wait_for_exit().success());
@@ -285,14 +285,14 @@
         c["peer_listen"] = listen.clone().into();
         c["peers"] = peers.clone().into();
     };
-    let old = Node::inherit(discovery.address, &socket, &folder, many);
+    let old = Node::launch_inheriting(discovery.address, &socket, &folder, many);
     wait_for("the old process is ready", || old.readiness_status() == 200);
     assert!(old.admin_command(&format!("disable-server s-{}", MANY - 1)).starts_with("done"));
     wait_for("the state names all of them", || {
         let state = std::fs::read_to_string(folder.join("node-state.json")).unwrap_or_default();
         state.matches("\"served\"").count() == MANY
     });
-    let mut new = Node::inherit(discovery.address, &socket, &folder, many);
+    let mut new = Node::launch_inheriting(discovery.address, &socket, &folder, many);
     wait_for("the new process is ready", || call_if(&new, "ready").starts_with("done"));
     for _ in 0..20 {
         assert_eq!(send_request(new.address, &request("page", 4000)).status(), 200);
@@ -301,7 +301,7 @@
     discovery.set(targets);
     let nobody = |node: &Node| node.admin_command("ready").starts_with("error");
     wait_for("nobody is left but the one out of service", || nobody(&old) && nobody(&new));
-    let (old_kb, new_kb) = (old.memory_kb(), new.memory_kb());
+    let (old_kb, new_kb) = (old.resident_memory_kb(), new.resident_memory_kb());
     assert!(old_kb + new_kb < 32 * 1024, "{old_kb} and {new_kb} KB");
     println!("{old_kb} and {new_kb} KB at {MANY} servers and peers");
     drop(old);
--- a/tests/node_hostile_clients.rs
+++ b/tests/node_hostile_clients.rs
@@ -68,13 +68,13 @@
     let addresses = start_endpoints(1, &record, |_, _| ok(&vec![b'x'; 60_000]));
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
-    let before = node.descriptors();
+    let before = node.descriptor_count();
     // Far more asked for than sockets hold, and nothing read.
     let mut deaf = Client::connect(node.address);
     deaf.stream.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
     (0..400).take_while(|_| deaf.send(&request("page", 4000))).for_each(drop);
-    let to_backends = || record.open_now() as usize;
-    wait_for("the one who reads nothing is closed", || node.descriptors() <= before + to_backends());
+    let to_backends = || record.open_connections() as usize;
+    wait_for("the one who reads nothing is closed", || node.descriptor_count() <= before + to_backends());
     // 60 MB that nobody wants.
     let mut endless = Client::connect(node.address);
     let head =
@@ -85,7 +85,7 @@
     (0..60).take_while(|_| endless.send(&part)).for_each(drop);
     ends(&mut endless);
     assert!(begun.elapsed() < SOON);
-    assert!(node.memory_kb() < 48 * 1024, "{} KB", node.memory_kb());
+    assert!(node.resident_memory_kb() < 48 * 1024, "{} KB", node.resident_memory_kb());
 }
 
 #[test]
@@ -105,7 +105,7 @@
     wait_for("the request is open", || record.count() == 1);
     let refused = send_request(node.address, &first);
     assert_eq!((refused.status(), refused.header("connection")), (409, Some("close")));
-    assert_eq!(usual.response().unwrap().status(), 200);
+    assert_eq!(usual.read_response().unwrap().status(), 200);
     assert_eq!(record.count(), 1);
     // Also free after a client that left.
     let second = request("page", 4000);
@@ -139,14 +139,14 @@
         assert_eq!(usual.send_and_receive(&request("bid", 900)).status(), 200, "round {round}");
         wait_until_connection_is_reusable();
         assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200, "round {round}");
-        assert!(node.descriptors() <= 256, "{} descriptors", node.descriptors());
+        assert!(node.descriptor_count() <= 256, "{} descriptors", node.descriptor_count());
         wait_until_connection_is_reusable();
         // A connection to an endpoint is dearer than a stranger's: none is made anew for these.
-        assert!(record.opened.load(Ordering::SeqCst) <= 4, "{:?}", record.opened);
+        assert!(record.connections_opened.load(Ordering::SeqCst) <= 4, "{:?}", record.connections_opened);
     }
     strangers.iter_mut().for_each(ends);
     assert_eq!(record.count(), 12);
-    assert!(node.memory_kb() < 32 * 1024, "{} KB", node.memory_kb());
+    assert!(node.resident_memory_kb() < 32 * 1024, "{} KB", node.resident_memory_kb());
 }
 
 #[test]
@@ -175,7 +175,7 @@
         );
         assert!(client.send(head.as_bytes()) && client.send(&body));
     }
-    let answers: Vec<Message> = clients.iter_mut().map(|c| c.response().unwrap()).collect();
+    let answers: Vec<Message> = clients.iter_mut().map(|c| c.read_response().unwrap()).collect();
     let of = |status| answers.iter().filter(move |a| a.status() == status);
     assert!(of(200).count() >= 3, "{answers:?}");
     assert!(of(503).count() >= 1 && of(503).all(|a| a.header("retry-after").is_some()), "{answers:?}");
--- a/tests/node_leaks.rs
+++ b/tests/node_leaks.rs
@@ -21,20 +21,20 @@
     // These ask once and keep their connection for good.
     let mut kept = Vec::new();
     for round in 1..=ROUNDS {
-        let calls = discovery.calls();
+        let calls = discovery.call_count();
         discovery.set(named(round));
-        wait_for("the list is taken", || discovery.calls() > calls);
+        wait_for("the list is taken", || discovery.call_count() > calls);
         let mut client = Client::connect(node.address);
         assert_eq!(client.send_and_receive(&request("page", 4000)).status(), 200, "round {round}");
         kept.push(client);
         assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200, "round {round}");
-        assert!(node.descriptors() <= 256, "{} descriptors", node.descriptors());
+        assert!(node.descriptor_count() <= 256, "{} descriptors", node.descriptor_count());
         if round == ROUNDS / 2 {
-            half = node.memory_kb();
+            half = node.resident_memory_kb();
         }
     }
-    let grown = node.memory_kb().saturating_sub(half);
+    let grown = node.resident_memory_kb().saturating_sub(half);
     assert!(grown < 2048, "{grown} KB more than half-way, {half} KB");
-    wait_for("connections to what has gone close", || record.open_now() <= 3);
-    wait_for("connections kept for good close", || node.descriptors() < 32);
+    wait_for("connections to what has gone close", || record.open_connections() <= 3);
+    wait_for("connections kept for good close", || node.descriptor_count() < 32);
 }
--- a/tests/node_malformed_responses.rs
+++ b/tests/node_malformed_responses.rs
@@ -31,7 +31,7 @@
         let record = RequestRecord::default();
         // The first answer to each request is malformed, the second is not.
         let addresses = start_endpoints(4, &record, move |n, _| {
-            if n % 2 == 0 { ScriptedReply::Send(bytes.clone()) } else { ok(b"good") }
+            if n % 2 == 0 { ScriptedResponse::Send(bytes.clone()) } else { ok(b"good") }
         });
         let discovery = DiscoveryStub::start(all_up(&addresses));
         let mut node = Node::start(discovery.address, |_| {});
@@ -48,7 +48,7 @@
         let before = record.count();
         assert_eq!(send_request(node.address, &request("bid", 900)).status(), 502, "{kind}");
         assert_eq!(record.count(), before + 1, "{kind}");
-        assert!(node.memory_kb() < 48 * 1024, "{kind}: {} KB", node.memory_kb());
+        assert!(node.resident_memory_kb() < 48 * 1024, "{kind}: {} KB", node.resident_memory_kb());
         node.terminate();
         assert!(node.wait_for_exit().success());
         assert!(!node.log().contains("congested"), "{kind}: endpoints were blamed");
@@ -60,35 +60,35 @@
     let record = RequestRecord::default();
     let addresses = start_endpoints(1, &record, |n, _| {
         std::thread::sleep(Duration::from_millis(100));
-        if n == 3 { ScriptedReply::Send(b"noise, and no answer\r\n\r\n".to_vec()) } else { ok(b"x") }
+        if n == 3 { ScriptedResponse::Send(b"noise, and no answer\r\n\r\n".to_vec()) } else { ok(b"x") }
     });
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(node.address)).collect();
     clients.iter_mut().for_each(|c| assert!(c.send(&request("bid", 900))));
-    clients.iter_mut().for_each(|c| assert_eq!(c.response().unwrap().status(), 200));
-    let opened = record.opened.load(Ordering::SeqCst);
+    clients.iter_mut().for_each(|c| assert_eq!(c.read_response().unwrap().status(), 200));
+    let opened = record.connections_opened.load(Ordering::SeqCst);
     wait_until_connection_is_reusable();
     assert_eq!(send_request(node.address, &request("bid", 900)).status(), 502);
-    wait_for("the malformed connection closes", || record.closed.load(Ordering::SeqCst) >= 1);
-    assert_eq!(record.closed.load(Ordering::SeqCst), 1);
+    wait_for("the malformed connection closes", || record.connections_closed.load(Ordering::SeqCst) >= 1);
+    assert_eq!(record.connections_closed.load(Ordering::SeqCst), 1);
     assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200);
-    assert_eq!(record.opened.load(Ordering::SeqCst), opened, "a new connection");
+    assert_eq!(record.connections_opened.load(Ordering::SeqCst), opened, "a new connection");
 }
 
 #[test]
 fn bytes_after_a_response_answer_no_request() {
     let right = |n: usize| format!("answer {n}").into_bytes();
     let surplus: [Vec<u8>; 3] =
-        [reply("200 OK", "", b"answer of another"), b"\0\x01 noise".to_vec(), b"\r\n".to_vec()];
+        [response("200 OK", "", b"answer of another"), b"\0\x01 noise".to_vec(), b"\r\n".to_vec()];
     for (later, extra) in surplus.iter().flat_map(|s| [(false, s.clone()), (true, s.clone())]) {
         let record = RequestRecord::default();
         let addresses = start_endpoints(1, &record, move |n, _| {
-            let good = reply("200 OK", "", &right(n));
+            let good = response("200 OK", "", &right(n));
             if later {
-                ScriptedReply::SendInTwoParts(good, Duration::from_millis(2), extra.clone())
+                ScriptedResponse::SendInTwoParts(good, Duration::from_millis(2), extra.clone())
             } else {
-                ScriptedReply::Send([good, extra.clone()].concat())
+                ScriptedResponse::Send([good, extra.clone()].concat())
             }
         });
         let discovery = DiscoveryStub::start(all_up(&addresses));
@@ -113,8 +113,8 @@
         ["", "TEXT", "inflight", "TEXT inflight=-7, util=1e999, queue=NaN", "BIN \u{ff}", "a=b=c,,=;"];
     let addresses = start_endpoints(2, &record, move |n, _| {
         let report = format!("Endpoint-Load-Metrics: {}\r\n", reports[n % reports.len()]);
-        let good = reply("200 OK", &report, b"good");
-        ScriptedReply::Send([ahead.as_bytes(), &good].concat())
+        let good = response("200 OK", &report, b"good");
+        ScriptedResponse::Send([ahead.as_bytes(), &good].concat())
     });
     let discovery = DiscoveryStub::start(all_up(&addresses));
     for via in ["none", "answers"] {
--- a/tests/node_races.rs
+++ b/tests/node_races.rs
@@ -11,7 +11,7 @@
 /// A node before `count` endpoints that act by `script`.
 fn start(
     count: usize,
-    script: impl Fn(usize, &Message) -> ScriptedReply + Send + Sync + 'static,
+    script: impl Fn(usize, &Message) -> ScriptedResponse + Send + Sync + 'static,
 ) -> (Node, RequestRecord, DiscoveryStub) {
     let record = RequestRecord::default();
     let addresses = start_endpoints(count, &record, script);
@@ -33,14 +33,14 @@
     for client in &mut resting {
         assert_eq!(client.send_and_receive(&request("bid", 900)).status(), 200);
     }
-    node.while_stopped(|| {
+    node.while_suspended(|| {
         for client in &mut resting {
             assert!(client.send(&request("bid", 900)));
         }
         node.terminate();
     });
     for client in &mut resting {
-        assert_eq!(client.response().map(|m| m.status()), Some(200));
+        assert_eq!(client.read_response().map(|m| m.status()), Some(200));
     }
     ends(node);
     assert_eq!(record.count(), 16);
@@ -54,7 +54,7 @@
         for client in &mut clients {
             assert_eq!(client.send_and_receive(&request("bid", 900)).status(), 200);
         }
-        node.while_stopped(|| {
+        node.while_suspended(|| {
             for client in &mut clients {
                 assert!(client.send(&request("bid", 900)));
             }
@@ -62,7 +62,7 @@
             thread::sleep(Duration::from_millis(2600));
         });
         let statuses: Vec<u16> =
-            clients.iter_mut().filter_map(|c| c.response()).map(|m| m.status()).collect();
+            clients.iter_mut().filter_map(|c| c.read_response()).map(|m| m.status()).collect();
         assert_eq!(statuses, [200; 8]);
     }
 }
@@ -70,7 +70,7 @@
 #[test]
 fn a_connection_that_races_sigterm_is_answered() {
     let (node, _record, _discovery) = start(1, |_, _| ok(b"x"));
-    let mut clients = node.while_stopped(|| {
+    let mut clients = node.while_suspended(|| {
         let mut clients: Vec<Client> = (0..8).map(|_| Client::connect(node.address)).collect();
         node.terminate();
         for client in &mut clients {
@@ -79,7 +79,7 @@
         clients
     });
     for client in &mut clients {
-        assert_eq!(client.response().map(|m| m.status()), Some(200));
+        assert_eq!(client.read_response().map(|m| m.status()), Some(200));
     }
     ends(node);
 }
@@ -94,7 +94,7 @@
             let up = Client::connect(node.address).send_and_receive(b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n");
             up.header("connection") == Some("close")
         });
-        let mut clients = node.while_stopped(|| {
+        let mut clients = node.while_suspended(|| {
             let mut clients: Vec<Client> = (0..8).map(|_| Client::connect(node.address)).collect();
             for client in &mut clients {
                 assert!(client.send(&request("page", 4000)));
@@ -104,7 +104,7 @@
             clients
         });
         let statuses: Vec<u16> =
-            clients.iter_mut().filter_map(|c| c.response()).map(|m| m.status()).collect();
+            clients.iter_mut().filter_map(|c| c.read_response()).map(|m| m.status()).collect();
         assert_eq!(statuses, [200; 8]);
         ends(node);
     }
@@ -121,11 +121,11 @@
         let (first, rest) = bytes.split_at(cut.min(bytes.len() - 2));
         assert!(client.send(first));
         assert_eq!(node.readiness_status(), 200, "it has had a turn to read that in");
-        node.while_stopped(|| {
+        node.while_suspended(|| {
             node.terminate();
             assert!(client.send(rest));
         });
-        assert_eq!(client.response().map(|m| m.status()), Some(200), "cut at {cut}");
+        assert_eq!(client.read_response().map(|m| m.status()), Some(200), "cut at {cut}");
         ends(node);
     }
 }
@@ -136,18 +136,23 @@
     let held = gate.clone();
     // Each request's first attempt fails once the node has been told; its second is served.
     let (node, record, _discovery) = start(3, move |n, _| {
-        if n < 2 { ScriptedReply::SendWhenOpen(held.clone(), reply("500 Late", "", b"")) } else { ok(b"x") }
+        if n < 2 {
+            ScriptedResponse::SendWhenOpen(held.clone(), response("500 Late", "", b""))
+        } else {
+            ok(b"x")
+        }
     });
     let mut clients: Vec<Client> = (0..2).map(|_| Client::connect(node.address)).collect();
     for client in &mut clients {
         assert!(client.send(&request("page", 4000)));
     }
     wait_for("all are out", || record.count() == 2);
-    node.while_stopped(|| {
+    node.while_suspended(|| {
         node.terminate();
         gate.open(2);
     });
-    let statuses: Vec<u16> = clients.iter_mut().filter_map(|c| c.response()).map(|m| m.status()).collect();
+    let statuses: Vec<u16> =
+        clients.iter_mut().filter_map(|c| c.read_response()).map(|m| m.status()).collect();
     assert_eq!(statuses, [200; 2]);
     assert_eq!(record.count(), 4);
     ends(node);
@@ -158,15 +163,15 @@
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
     let (mut node, record, discovery) =
-        start(1, move |_, _| ScriptedReply::SendWhenOpen(held.clone(), reply("200 OK", "", b"x")));
+        start(1, move |_, _| ScriptedResponse::SendWhenOpen(held.clone(), response("200 OK", "", b"x")));
     let second = DiscoveryStub::start(Vec::new());
     let mut client = Client::connect(node.address);
     assert!(client.send(&request("bid", 900)));
     wait_for("it is out", || record.count() == 1);
     let own = node.pid();
-    node.reload_and_terminate_while_stopped(second.address);
+    node.reload_and_terminate_while_suspended(second.address);
     gate.open(1);
-    assert_eq!(client.response().map(|m| m.status()), Some(200));
+    assert_eq!(client.read_response().map(|m| m.status()), Some(200));
     assert_eq!(own, node.pid());
     drop(discovery);
     ends(node);
@@ -175,16 +180,16 @@
 #[test]
 fn a_request_that_races_the_close_of_an_idle_upstream_connection_is_served() {
     let (node, record, _discovery) = start(1, |n, _| {
-        let answer = reply("200 OK", "", b"x");
-        if n == 0 { ScriptedReply::SendAndCloseLater(answer) } else { ScriptedReply::Send(answer) }
+        let answer = response("200 OK", "", b"x");
+        if n == 0 { ScriptedResponse::SendAndCloseLater(answer) } else { ScriptedResponse::Send(answer) }
     });
     let mut client = Client::connect(node.address);
     assert_eq!(client.send_and_receive(&request("bid", 900)).status(), 200);
-    node.while_stopped(|| {
-        wait_for("the endpoint has closed it", || record.closed.load(SeqCst) == 1);
+    node.while_suspended(|| {
+        wait_for("the endpoint has closed it", || record.connections_closed.load(SeqCst) == 1);
         assert!(client.send(&request("bid", 900)));
     });
-    assert_eq!(client.response().map(|m| m.status()), Some(200));
+    assert_eq!(client.read_response().map(|m| m.status()), Some(200));
 }
 
 #[test]
@@ -192,17 +197,18 @@
     for _ in 0..6 {
         let gate = Arc::new(Gate::default());
         let held = gate.clone();
-        let (node, record, _discovery) =
-            start(1, move |_, _| ScriptedReply::SendWhenOpen(held.clone(), reply("200 OK", "", b"x")));
+        let (node, record, _discovery) = start(1, move |_, _| {
+            ScriptedResponse::SendWhenOpen(held.clone(), response("200 OK", "", b"x"))
+        });
         let mut client = Client::connect(node.address);
         // The attempt's time is that of the aim, 500 ms; the client waits for longer.
         assert!(client.send(&request("bid", 900)));
         wait_for("it is out", || record.count() == 1);
-        node.while_stopped(|| {
+        node.while_suspended(|| {
             gate.open(1);
             thread::sleep(Duration::from_millis(550));
         });
-        assert_eq!(client.response().map(|m| m.status()), Some(200), "the answer was thrown away");
+        assert_eq!(client.read_response().map(|m| m.status()), Some(200), "the answer was thrown away");
     }
 }
 
@@ -211,7 +217,7 @@
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
     let (node, record, _discovery) = start(3, move |n, m| match m.first_line.starts_with("GET") {
-        true if n < 6 => ScriptedReply::SendWhenOpen(held.clone(), reply("500 Late", "", b"")),
+        true if n < 6 => ScriptedResponse::SendWhenOpen(held.clone(), response("500 Late", "", b"")),
         _ => ok(b"x"),
     });
     let mut clients: Vec<Client> = (0..6).map(|_| Client::connect(node.address)).collect();
@@ -219,7 +225,7 @@
         assert!(client.send(&request("page", 4000)));
     }
     wait_for("all are out", || record.count() == 6);
-    node.while_stopped(|| {
+    node.while_suspended(|| {
         drop(clients);
         gate.open(6);
     });
@@ -234,7 +240,7 @@
 #[test]
 fn a_client_that_left_before_it_was_accepted_causes_no_attempt() {
     let (node, record, _discovery) = start(1, |_, _| ok(b"x"));
-    node.while_stopped(|| {
+    node.while_suspended(|| {
         for _ in 0..10 {
             let mut leaver = Client::connect(node.address);
             assert!(leaver.send(&request("page", 4000)));
@@ -258,12 +264,12 @@
     });
     let mut client = Client::connect(node.address);
     assert!(client.send(&request("page", 4000)));
-    wait_for("a handshake is under way", || tcp_state(address, SYN_SENT));
+    wait_for("a handshake is under way", || has_tcp_socket_in_state(address, SYN_SENT));
     assert!(node.admin_command("disable-server s-0").starts_with("done"));
     let (first, _) = listener.accept().unwrap();
     drop((first, filler));
     assert_eq!(accept_and_read_to_end(&listener), "", "sent to one out of service");
-    assert_eq!(client.response().unwrap().status(), 503);
+    assert_eq!(client.read_response().unwrap().status(), 503);
 }
 
 #[test]
@@ -273,7 +279,7 @@
     let (listener, late) = listener_with_backlog_of_one();
     let filler = Client::connect(late);
     let record = RequestRecord::default();
-    let breaks = start_endpoint(&record, |_, _| ScriptedReply::SendAndClose(Vec::new()));
+    let breaks = start_endpoint(&record, |_, _| ScriptedResponse::SendAndClose(Vec::new()));
     let discovery = DiscoveryStub::start(all_up(&[breaks, late]));
     let node = Node::start(discovery.address, |c| {
         c["settings"]["limits"]["connectTimeoutMs"] = 5000.into();
@@ -292,7 +298,7 @@
         );
         assert!(client.send(head.as_bytes()));
         clients.push(client);
-        wait_for("a handshake for each request", || tcp_count(late, SYN_SENT) == n);
+        wait_for("a handshake for each request", || count_tcp_sockets_in_state(late, SYN_SENT) == n);
         if record.count() == 1 {
             break;
         }
@@ -301,7 +307,7 @@
     // Whoever still asks for a connection gets it now, and would be served.
     let served = RequestRecord::default();
     serve_endpoint(listener.into(), &served, Arc::new(|_, _| ok(b"x")));
-    let case = clients.last_mut().and_then(Client::response);
+    let case = clients.last_mut().and_then(Client::read_response);
     assert_eq!(case.map(|m| m.status()), Some(503), "sent again after its key was forgotten");
     drop(filler);
 }
--- a/tests/node_reload.rs
+++ b/tests/node_reload.rs
@@ -34,7 +34,7 @@
         let second = DiscoveryStub::start(only(b));
         node.reload(second.address);
         wait_for("the second list", || served_by(address) == b"b");
-        let calls = first.calls();
+        let calls = first.call_count();
         for bad in ["", "{\"discovery\":", "[]", "{\"discovery\": \"nowhere\"}"] {
             node.reload_text(bad);
         }
@@ -46,7 +46,7 @@
         assert_eq!(served_by(address), b"c");
         let _third = DiscoveryStub::start_at(late, only(a));
         wait_for("the third list", || served_by(address) == b"a");
-        assert_eq!(first.calls(), calls, "the first discovery was asked again");
+        assert_eq!(first.call_count(), calls, "the first discovery was asked again");
         over.store(true, Ordering::SeqCst);
         load.into_iter().for_each(|l| l.join().unwrap());
     });
@@ -64,7 +64,7 @@
         // After a failure so many nodes call again over some seconds.
         c["settings"]["instances"] = 300.into();
     });
-    wait_for("a watch is out", || first.calls() >= 2);
+    wait_for("a watch is out", || first.call_count() >= 2);
     targets[0] = target("s-0", addresses[0], "draining");
     // The same service at another place: its count goes on, and it has too many callers.
     let second = DiscoveryStub::start(all_up(&addresses));
@@ -72,9 +72,9 @@
     second.reject_calls(3);
     let told = Instant::now() + Duration::from_secs(4);
     node.reload(second.address);
-    wait_by(told, "the call after the one that is answered", || second.calls() >= 5);
+    wait_until(told, "the call after the one that is answered", || second.call_count() >= 5);
     let asked = second.call_lines();
     assert!(asked[3].contains("after=1&wait_ms=0 "), "all of the list, or a wait for news: {}", asked[3]);
     assert!(asked[4].contains("after=2&wait_ms=60000 "), "no watch: {}", asked[4]);
-    assert_only_staying_serves(&node, &leaving, &staying);
+    assert_draining_endpoint_gets_no_requests(&node, &leaving, &staying);
 }
--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -31,12 +31,12 @@
     assert_eq!(seen[0].header("idempotency-key"), Some("5c0f"));
     let wait: u64 = seen[0].header("x-expires-in-ms").unwrap().parse().unwrap();
     assert!((1..2000).contains(&wait), "the endpoint is told to wait {wait} ms");
-    assert_eq!(record.open_now(), 1, "one connection serves one request after the other");
+    assert_eq!(record.open_connections(), 1, "one connection serves one request after the other");
 }
 
 /// Plays one request whose first attempt ends by `first`; any further one would be served.
 /// Gives the client's status and how many attempts were written.
-fn play(class: &str, first: ScriptedReply) -> (u16, usize) {
+fn play(class: &str, first: ScriptedResponse) -> (u16, usize) {
     let record = RequestRecord::default();
     let addresses =
         start_endpoints(3, &record, move |n, _| if n == 0 { first.clone() } else { ok(b"second") });
@@ -49,22 +49,25 @@
     (answer.status(), record.count())
 }
 
-fn ends_that_may_have_run() -> Vec<(&'static str, ScriptedReply)> {
+fn ends_that_may_have_run() -> Vec<(&'static str, ScriptedResponse)> {
     vec![
-        ("500", ScriptedReply::Send(reply("500 Internal Server Error", "", b""))),
-        ("500 that claims it never ran", ScriptedReply::Send(reply("500 No", "X-Never-Ran: 1\r\n", b""))),
-        ("503 without proof", ScriptedReply::Send(reply("503 Service Unavailable", "", b""))),
-        ("404", ScriptedReply::Send(reply("404 Not Found", "X-Never-Ran: 1\r\n", b""))),
-        ("cut before the answer", ScriptedReply::SendAndClose(Vec::new())),
-        ("cut in the head", ScriptedReply::SendAndClose(b"HTTP/1.1 200 O".to_vec())),
+        ("500", ScriptedResponse::Send(response("500 Internal Server Error", "", b""))),
+        (
+            "500 that claims it never ran",
+            ScriptedResponse::Send(response("500 No", "X-Never-Ran: 1\r\n", b"")),
+        ),
+        ("503 without proof", ScriptedResponse::Send(response("503 Service Unavailable", "", b""))),
+        ("404", ScriptedResponse::Send(response("404 Not Found", "X-Never-Ran: 1\r\n", b""))),
+        ("cut before the answer", ScriptedResponse::SendAndClose(Vec::new())),
+        ("cut in the head", ScriptedResponse::SendAndClose(b"HTTP/1.1 200 O".to_vec())),
         (
             "cut in the body",
-            ScriptedReply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_vec()),
+            ScriptedResponse::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_vec()),
         ),
-        ("no HTTP", ScriptedReply::SendAndClose(b"what?\r\n\r\n".to_vec())),
+        ("no HTTP", ScriptedResponse::SendAndClose(b"what?\r\n\r\n".to_vec())),
         (
             "a body over the limit",
-            ScriptedReply::Send(b"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nx".to_vec()),
+            ScriptedResponse::Send(b"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nx".to_vec()),
         ),
     ]
 }
@@ -90,7 +93,7 @@
 fn an_attempt_that_never_ran_is_repeated_for_every_class() {
     for status in ["503 Service Unavailable", "504 Gateway Timeout"] {
         for class in ["page", "bid", "pay"] {
-            let act = ScriptedReply::Send(reply(status, "X-Never-Ran: 1\r\n", b""));
+            let act = ScriptedResponse::Send(response(status, "X-Never-Ran: 1\r\n", b""));
             assert_eq!(play(class, act), (200, 2), "{status}, {class}");
         }
     }
@@ -112,7 +115,7 @@
 #[test]
 fn a_silent_endpoint_costs_a_not_idempotent_request_its_time_and_no_repeat() {
     let record = RequestRecord::default();
-    let addresses = start_endpoints(2, &record, |_, _| ScriptedReply::Silent);
+    let addresses = start_endpoints(2, &record, |_, _| ScriptedResponse::Silent);
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let begun = Instant::now();
@@ -121,7 +124,7 @@
     // The deadline, and the slack of the rule: a busy machine may be late.
     assert!(begun.elapsed() < Duration::from_millis(370), "the client has gone by then");
     assert_eq!(record.count(), 1);
-    wait_for("the attempt's connection closes", || record.open_now() == 0);
+    wait_for("the attempt's connection closes", || record.open_connections() == 0);
 }
 
 #[test]
@@ -143,14 +146,15 @@
 fn a_stale_connection_is_not_used() {
     // The endpoint closes after each answer without saying so.
     let record = RequestRecord::default();
-    let addresses =
-        start_endpoints(1, &record, |_, _| ScriptedReply::SendAndCloseLater(reply("200 OK", "", b"bye")));
+    let addresses = start_endpoints(1, &record, |_, _| {
+        ScriptedResponse::SendAndCloseLater(response("200 OK", "", b"bye"))
+    });
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let mut client = Client::connect(node.address);
     for n in 1..=5 {
         assert_eq!(client.send_and_receive(&request("bid", 900)).status(), 200);
-        wait_for("the endpoint closes", || record.closed.load(SeqCst) == n);
+        wait_for("the endpoint closes", || record.connections_closed.load(SeqCst) == n);
         // The close is in the system's hands by now, not yet at the node.
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -178,7 +182,7 @@
 #[test]
 fn a_client_that_leaves_cancels_its_attempt() {
     let record = RequestRecord::default();
-    let addresses = start_endpoints(2, &record, |_, _| ScriptedReply::Silent);
+    let addresses = start_endpoints(2, &record, |_, _| ScriptedResponse::Silent);
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     let mut client = Client::connect(node.address);
@@ -186,7 +190,7 @@
     wait_for("the attempt is out", || record.count() == 1);
     drop(client);
     let begun = Instant::now();
-    wait_for("the attempt's connection closes", || record.open_now() == 0);
+    wait_for("the attempt's connection closes", || record.open_connections() == 0);
     assert!(begun.elapsed() < Duration::from_millis(900), "only its time-out ended it");
     assert_eq!(record.count(), 1);
 }
@@ -218,10 +222,10 @@
         // The first attempt fails half a second after it came: a second would be made elsewhere.
         let record = RequestRecord::default();
         let late = || {
-            ScriptedReply::SendInTwoParts(
+            ScriptedResponse::SendInTwoParts(
                 Vec::new(),
                 Duration::from_millis(500),
-                reply("500 Late", "", b""),
+                response("500 Late", "", b""),
             )
         };
         let addresses = start_endpoints(3, &record, move |_, _| late());
@@ -233,7 +237,7 @@
         // Read behind that, and none of it as the client's end.
         assert!(client.send(&request("page", 4000)));
         let half = leave(client, how);
-        wait_for("the attempt is called off", || record.open_now() == 0);
+        wait_for("the attempt is called off", || record.open_connections() == 0);
         // Another's request shows that all is handled that came before.
         let other = send_request(node.address, &request("bid", 900));
         assert_eq!(other.status(), 502, "{how:?}");
@@ -253,7 +257,7 @@
     });
     let mut client = Client::connect(node.address);
     assert!(client.send(&request("page", 4000)));
-    wait_for("a handshake is under way", || tcp_state(address, SYN_SENT));
+    wait_for("a handshake is under way", || has_tcp_socket_in_state(address, SYN_SENT));
     // Pipelined bytes hide the close from who reads no further.
     assert!(client.send(&request("page", 4000)));
     drop(client);
@@ -271,14 +275,14 @@
     // Endpoints that drop what has been idle for a while, and say so only by a reset under the next request.
     const IDLE: Duration = Duration::from_millis(100);
     let record = RequestRecord::default();
-    let (opened, last) = (record.opened.clone(), Mutex::new((0, Instant::now())));
+    let (opened, last) = (record.connections_opened.clone(), Mutex::new((0, Instant::now())));
     let addresses = start_endpoints(1, &record, move |_, message| {
         let mut last = last.lock().unwrap();
         let connections = opened.load(SeqCst);
         let kept = message.first_line.contains("/api") && last.0 == connections;
         let stale = kept && last.1.elapsed() > IDLE;
         *last = (connections, Instant::now());
-        if stale { ScriptedReply::SendAndClose(Vec::new()) } else { ok(b"x") }
+        if stale { ScriptedResponse::SendAndClose(Vec::new()) } else { ok(b"x") }
     });
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| {
@@ -298,11 +302,11 @@
         thread::sleep(2 * IDLE);
     }
     // Those that were idle for less are used again.
-    let before = record.opened.load(SeqCst);
+    let before = record.connections_opened.load(SeqCst);
     for _ in 0..40 {
         send_request(node.address, &request("bid", 900));
         thread::sleep(Duration::from_millis(15));
     }
-    let new = record.opened.load(SeqCst) - before;
+    let new = record.connections_opened.load(SeqCst) - before;
     assert!(new <= 30, "{new} connections for 40 requests");
 }
--- a/tests/node_shutdown.rs
+++ b/tests/node_shutdown.rs
@@ -60,7 +60,7 @@
                     client.send(&request(class, 900)),
                     "client {n}: the connection was not announced to close"
                 );
-                let answer = client.response().expect("taken and not answered");
+                let answer = client.read_response().expect("taken and not answered");
                 assert!(matches!(answer.status(), 200 | 503), "{}", answer.first_line);
                 served += 1;
                 let close = answer.header("connection") == Some("close");
--- a/tests/node_stalls.rs
+++ b/tests/node_stalls.rs
@@ -1,7 +1,7 @@
 //! Requests that waited for the node before it took their connection.
 mod node;
 
-use node::faults::{SyscallFault, SyscallFaults};
+use node::faults::{FaultSetting, SyscallFaults};
 use node::*;
 use serde_json::Value;
 use std::io::Write;
@@ -41,14 +41,14 @@
         c["console"] = free_address().to_string().into();
         c["known"] = known.clone();
     };
-    let mut first = Node::inherit(discovery.address, &socket, &folder, console);
+    let mut first = Node::launch_inheriting(discovery.address, &socket, &folder, console);
     wait_for("the first process is ready", || first.readiness_status() == 200);
     first.kill();
     told.lock().unwrap().clear();
     // Nobody takes these before the next process; the second has no time left by then.
     let send = |wait_ms: u64| {
         let mut stream = TcpStream::connect(socket.local_addr().unwrap()).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream.write_all(&request("page", wait_ms)).unwrap();
         (stream, Instant::now())
     };
@@ -56,10 +56,11 @@
     let (mut short, _) = send(300);
     std::thread::sleep(Duration::from_millis(800));
     let faults = SyscallFaults::new(1);
-    faults.set(SyscallFault::WallOffsetMs, step_ms);
-    faults.set(SyscallFault::InterruptedIo, one_in);
-    faults.set(SyscallFault::SocketFails, one_in);
-    let _next = Node::inherit_with(discovery.address, &socket, &folder, console, |c| faults.preload(c));
+    faults.set(FaultSetting::WallOffsetMs, step_ms);
+    faults.set(FaultSetting::InterruptedIo, one_in);
+    faults.set(FaultSetting::FailedSocket, one_in);
+    let _next =
+        Node::launch_inheriting_with(discovery.address, &socket, &folder, console, |c| faults.preload(c));
     let status =
         |stream: &mut TcpStream| Message::read(&mut std::io::BufReader::new(stream)).unwrap().status();
     assert_eq!(status(&mut long), 200);
@@ -88,14 +89,14 @@
             .collect();
         // Their first halves are read, and they are no longer fresh.
         wait_until_connection_is_reusable();
-        let idle: Vec<Client> = node.while_stopped(|| {
+        let idle: Vec<Client> = node.while_suspended(|| {
             // The node meets these first, and looks for places.
             let idle = (0..30).filter_map(|_| Client::try_connect(node.address)).collect();
             halves.iter_mut().for_each(|(client, rest)| assert!(client.send(rest)));
             idle
         });
         for (client, _) in &mut halves {
-            assert_eq!(client.response().map(|m| m.status()), Some(200), "round {round}");
+            assert_eq!(client.read_response().map(|m| m.status()), Some(200), "round {round}");
         }
         drop(idle);
     }
--- a/tests/node_state_files.rs
+++ b/tests/node_state_files.rs
@@ -43,7 +43,7 @@
             records.iter().map(|r| start_endpoint(r, |_, _| ok(b"ok"))).collect();
         let folder = folder_of(version);
         let socket = TcpListener::bind(free_address()).unwrap();
-        let node = Node::inherit(free_address(), &socket, &folder, |c: &mut Value| {
+        let node = Node::launch_inheriting(free_address(), &socket, &folder, |c: &mut Value| {
             c["console"] = free_address().to_string().into();
             c["known"] = serde_json::json!({"rev": 7, "all": true, "targets": all_up(&addresses)});
             // As the program that wrote the files was told.
--- a/tests/node_streaming.rs
+++ b/tests/node_streaming.rs
@@ -51,7 +51,7 @@
 /// A client that has asked for a page, and the head of what it gets.
 fn ask_page(node: &Node) -> (BufReader<TcpStream>, String) {
     let mut client = TcpStream::connect(node.address).unwrap();
-    client.set_read_timeout(Some(PATIENCE)).unwrap();
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     client.write_all(&request("page", 4000)).unwrap();
     let mut reader = BufReader::new(client);
     let head = head(&mut reader).expect("a head");
@@ -158,7 +158,7 @@
         let node = start(&[endpoint]);
         let before = asked.load(Ordering::SeqCst);
         let mut client = TcpStream::connect(node.address).unwrap();
-        client.set_read_timeout(Some(PATIENCE)).unwrap();
+        client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let text = String::from_utf8(request("page", 4000))
             .unwrap()
             .replace("HTTP/1.1", &format!("HTTP/{version}"));
@@ -191,10 +191,10 @@
     let node = start(&[endpoint]);
     let clients: Vec<_> = (0..30).map(|_| ask_page(&node)).collect();
     wait_for("all answers have begun", || open.load(Ordering::SeqCst) == 30);
-    assert!(node.memory_kb() < 24 * 1024, "{} KB", node.memory_kb());
+    assert!(node.resident_memory_kb() < 24 * 1024, "{} KB", node.resident_memory_kb());
     drop(clients);
     wait_for("the endpoint's connections end", || open.load(Ordering::SeqCst) == 0);
-    wait_for("and their descriptors", || node.descriptors() < 24);
+    wait_for("and their descriptors", || node.descriptor_count() < 24);
 }
 
 #[test]
@@ -215,7 +215,7 @@
     socket.set_recv_buffer_size(16 * 1024).unwrap();
     socket.connect(&node.address.into()).unwrap();
     let mut client = TcpStream::from(socket);
-    client.set_read_timeout(Some(PATIENCE)).unwrap();
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     client.write_all(&request("page", 4000)).unwrap();
     let mut reader = BufReader::with_capacity(1024, client);
     assert!(head(&mut reader).expect("a head").starts_with("http/1.1 200"));
@@ -250,7 +250,7 @@
             };
             let Some(body) = body else { return };
             got.lock().unwrap().push((head, body));
-            stream.write_all(&reply("200 OK", "", b"ok")).unwrap();
+            stream.write_all(&response("200 OK", "", b"ok")).unwrap();
         }
     })
 }
@@ -297,12 +297,12 @@
     }
     // One that waits to be told to go on, and one that is written byte by byte.
     client.send(post("Expect: 100-continue\r\nContent-Length: 4\r\n").as_bytes());
-    assert_eq!(client.response().unwrap().status(), 100);
+    assert_eq!(client.read_response().unwrap().status(), 100);
     assert_eq!(client.send_and_receive(b"body").status(), 200);
     for byte in post("Content-Length: 4\r\n").bytes().chain(*b"body") {
         client.send(&[byte]);
     }
-    assert_eq!(client.response().unwrap().status(), 200);
+    assert_eq!(client.read_response().unwrap().status(), 200);
 }
 
 #[test]
@@ -319,18 +319,18 @@
         seen.lock().unwrap().send(()).unwrap();
         reader.read_exact(&mut body[100_000..]).unwrap();
         assert!(body == long(300_000));
-        stream.write_all(&reply("200 OK", "", b"ok")).unwrap();
+        stream.write_all(&response("200 OK", "", b"ok")).unwrap();
     });
     let node = start(&[endpoint]);
     let mut client = Client::connect(node.address);
     client.send(post("Content-Length: 300000\r\n").as_bytes());
     let body = long(300_000);
     client.send(&body[..150_000]);
-    first.recv_timeout(PATIENCE).expect("the first part goes on");
+    first.recv_timeout(WAIT_TIMEOUT).expect("the first part goes on");
     // Longer than the client will wait for the answer.
     thread::sleep(Duration::from_millis(1200));
     client.send(&body[150_000..]);
-    assert_eq!(client.response().unwrap().status(), 200);
+    assert_eq!(client.read_response().unwrap().status(), 200);
 }
 
 #[test]
@@ -347,7 +347,7 @@
         client = Client::connect(node.address);
         client.send(post(headers).as_bytes());
         client.send(sent);
-        assert_eq!(client.response().map(|m| m.status()), Some(408), "{headers}");
+        assert_eq!(client.read_response().map(|m| m.status()), Some(408), "{headers}");
     }
     assert_eq!(got.lock().unwrap().len(), 1);
     node.terminate();
@@ -385,7 +385,7 @@
     let mut writer = client.stream.try_clone().unwrap();
     // It may be cut off while it still writes.
     let writing = thread::spawn(move || drop(writer.write_all(&bytes)));
-    assert_eq!(client.response().map(|m| m.status()), Some(503));
+    assert_eq!(client.read_response().map(|m| m.status()), Some(503));
     writing.join().unwrap();
     assert_eq!(begun.load(Ordering::SeqCst), 1);
 }
--- a/tests/node_syscall_faults.rs
+++ b/tests/node_syscall_faults.rs
@@ -1,7 +1,7 @@
 //! System calls that fail in ways that Linux documents: the node's own trouble, and nobody else's.
 mod node;
 
-use node::faults::{SyscallFault, SyscallFaults};
+use node::faults::{FaultSetting, SyscallFaults};
 use node::*;
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 fn play(node: &Node, rounds: usize) -> Vec<u16> {
     let mut statuses = Vec::new();
     for _ in 0..rounds {
-        statuses.extend(send_many(node, "page", 4000, 8, 8));
-        statuses.extend(send_many(node, "pay", 4000, 2, 2));
+        statuses.extend(send_concurrently(node, "page", 4000, 8, 8));
+        statuses.extend(send_concurrently(node, "pay", 4000, 2, 2));
         let mut client = Client::connect(node.address);
         for _ in 0..3 {
-            let answer = client.send(&request("page", 4000)).then(|| client.response()).flatten();
+            let answer = client.send(&request("page", 4000)).then(|| client.read_response()).flatten();
             statuses.push(answer.map_or(0, |message| message.status()));
         }
     }
@@ -34,11 +34,11 @@
     let record = RequestRecord::default();
     let discovery = three_backends(&record);
     let faults = SyscallFaults::new(1);
-    faults.set(SyscallFault::InterruptedIo, 11);
-    faults.set(SyscallFault::ShortIo, 5);
-    faults.set(SyscallFault::ShortBytes, 7);
-    faults.set(SyscallFault::InterruptedWait, 13);
-    let mut node = Node::start_with(discovery.address, &faults, |c| {
+    faults.set(FaultSetting::InterruptedIo, 11);
+    faults.set(FaultSetting::ShortIo, 5);
+    faults.set(FaultSetting::ShortIoBytes, 7);
+    faults.set(FaultSetting::InterruptedWait, 13);
+    let mut node = Node::start_with_faults(discovery.address, &faults, |c| {
         c["console"] = free_address().to_string().into();
     });
     all_served(&play(&node, 20));
@@ -62,8 +62,8 @@
         let record = RequestRecord::default();
         let discovery = three_backends(&record);
         let faults = SyscallFaults::new(seed);
-        let mut node = Node::start_with(discovery.address, &faults, |_| {});
-        for fault in [SyscallFault::AcceptFails, SyscallFault::ConnectFails, SyscallFault::SocketFails] {
+        let mut node = Node::start_with_faults(discovery.address, &faults, |_| {});
+        for fault in [FaultSetting::FailedAccept, FaultSetting::FailedConnect, FaultSetting::FailedSocket] {
             faults.set(fault, 12);
         }
         all_served(&play(&node, 20));
@@ -79,20 +79,20 @@
     let record = RequestRecord::default();
     let discovery = three_backends(&record);
     let faults = SyscallFaults::new(4);
-    let node = Node::start_with(discovery.address, &faults, |_| {});
+    let node = Node::start_with_faults(discovery.address, &faults, |_| {});
     let mut resting = Client::connect(node.address);
     assert_eq!(resting.send_and_receive(&request("page", 4000)).status(), 200);
     wait_until_connection_is_reusable();
-    let connections = record.open_now();
+    let connections = record.open_connections();
     assert!(connections > 0);
-    faults.set(SyscallFault::AcceptFails, 2);
+    faults.set(FaultSetting::FailedAccept, 2);
     for _ in 0..40 {
         assert_eq!(
             try_request(node.address, b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n").map(|m| m.status()),
             Some(200)
         );
     }
-    assert_eq!(record.open_now(), connections, "connections to endpoints are kept");
+    assert_eq!(record.open_connections(), connections, "connections to endpoints are kept");
     assert_eq!(resting.send_and_receive(&request("page", 4000)).status(), 200, "and those of clients");
 }
 
@@ -101,11 +101,11 @@
     let record = RequestRecord::default();
     let discovery = three_backends(&record);
     let faults = SyscallFaults::new(5);
-    let mut node = Node::start_with(discovery.address, &faults, |_| {});
+    let mut node = Node::start_with_faults(discovery.address, &faults, |_| {});
     // Where the client's own connection breaks, it gets no answer; each other request gets its one.
-    faults.set(SyscallFault::BrokenIo, 40);
+    faults.set(FaultSetting::BrokenConnection, 40);
     let statuses = play(&node, 10);
-    faults.set(SyscallFault::BrokenIo, 0);
+    faults.set(FaultSetting::BrokenConnection, 0);
     assert!(statuses.contains(&200), "{statuses:?}");
     wait_for("the node serves again", || {
         std::thread::sleep(Duration::from_millis(20));
@@ -120,8 +120,8 @@
     let discovery = three_backends(&record);
     for seed in 1..=6 {
         let faults = SyscallFaults::new(seed);
-        faults.set(SyscallFault::SocketFails, 2);
-        let node = Node::start_with(discovery.address, &faults, |c| {
+        faults.set(FaultSetting::FailedSocket, 2);
+        let node = Node::start_with_faults(discovery.address, &faults, |c| {
             c["console"] = free_address().to_string().into();
             c["peer_listen"] = free_address().to_string().into();
         });
--- a/tests/node_upstream_connections.rs
+++ b/tests/node_upstream_connections.rs
@@ -16,7 +16,7 @@
         Node::start(discovery.address, |c| c["settings"]["limits"]["connectTimeoutMs"] = 5000.into());
     let mut client = Client::connect(node.address);
     assert!(client.send(&request("page", 4000)));
-    wait_for("a handshake is under way", || tcp_state(address, SYN_SENT));
+    wait_for("a handshake is under way", || has_tcp_socket_in_state(address, SYN_SENT));
     discovery.set(vec![target("s-0", address, "draining")]);
     wait_for("the drain is known", || node.readiness_status() == 503);
     // Take the filler out: the handshake can be completed now.
@@ -24,7 +24,7 @@
     drop((first, filler));
     // The node closes it without a word.
     assert_eq!(accept_and_read_to_end(&listener), "", "sent to a draining endpoint");
-    assert_eq!(client.response().unwrap().status(), 503);
+    assert_eq!(client.read_response().unwrap().status(), 503);
 }
 
 #[test]
@@ -34,9 +34,9 @@
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
     assert_eq!(send_request(node.address, &request("page", 900)).status(), 200);
-    assert_eq!(record.open_now(), 1);
+    assert_eq!(record.open_connections(), 1);
     discovery.set(vec![target("s-0", addresses[0], "draining")]);
-    wait_for("the connection is closed", || record.open_now() == 0);
+    wait_for("the connection is closed", || record.open_connections() == 0);
 }
 
 #[test]
@@ -45,14 +45,18 @@
     let record = RequestRecord::default();
     let back = Arc::new(AtomicBool::new(false));
     let script_back = back.clone();
-    let opened = record.opened.clone();
+    let opened = record.connections_opened.clone();
     let addresses = start_endpoints(1, &record, move |_, _| {
         if !script_back.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(100));
             return ok(b"x");
         }
         // Whatever was opened before it came back is cut; only new connections are served.
-        if opened.load(Ordering::SeqCst) == 2 { ScriptedReply::SendAndClose(Vec::new()) } else { ok(b"x") }
+        if opened.load(Ordering::SeqCst) == 2 {
+            ScriptedResponse::SendAndClose(Vec::new())
+        } else {
+            ok(b"x")
+        }
     });
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
@@ -61,9 +65,9 @@
         assert!(client.send(&request("bid", 900)));
     }
     for client in &mut clients {
-        assert_eq!(client.response().unwrap().status(), 200);
+        assert_eq!(client.read_response().unwrap().status(), 200);
     }
-    assert_eq!(record.open_now(), 2, "two connections stand idle");
+    assert_eq!(record.open_connections(), 2, "two connections stand idle");
     wait_until_connection_is_reusable();
     back.store(true, Ordering::SeqCst);
     assert_eq!(clients[0].send_and_receive(&request("bid", 900)).status(), 502, "cut, and it may have run");
