--- a/tests/node/client.rs
+++ b/tests/node/client.rs
@@ -1,4 +1,4 @@
-//! Clients of a node.
+//! Sends requests to a node as its clients do, over blocking sockets.
 
 use super::endpoint_stub::RequestRecord;
 use super::http::{Message, request};
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
 
-/// A client's connection.
+/// One client connection to a node. Reads and the connect time out after `WAIT_TIMEOUT`.
 pub struct Client {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -19,6 +19,7 @@
         Client::try_connect(address).unwrap()
     }
 
+    /// Returns `None` if the connection is refused or not established within `WAIT_TIMEOUT`.
     pub fn try_connect(address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect_timeout(&address, WAIT_TIMEOUT).ok()?;
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
@@ -26,45 +27,48 @@
         Some(Client { stream, reader })
     }
 
+    /// Returns `false` if the write fails, for example because the node has closed the connection.
     pub fn send(&mut self, bytes: &[u8]) -> bool {
         self.stream.write_all(bytes).is_ok()
     }
 
-    /// The response, if a complete one comes.
+    /// Reads one response. Returns `None` if the connection ends or the read times out before the response is complete.
     pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
     pub fn send_and_receive(&mut self, bytes: &[u8]) -> Message {
         assert!(self.send(bytes));
-        self.read_response().expect("an answer")
+        self.read_response().expect("a complete response")
     }
 }
 
-/// One request on a connection of its own; its response, if there is one.
+/// Sends one request on a new connection. Returns `None` if there is no complete response.
 pub fn try_request(address: SocketAddr, bytes: &[u8]) -> Option<Message> {
     let mut client = Client::try_connect(address)?;
     client.send(bytes);
     client.read_response()
 }
 
-/// One request on a connection of its own, which must be answered.
+/// Sends one request on a new connection, and panics if there is no complete response.
 pub fn send_request(address: SocketAddr, bytes: &[u8]) -> Message {
-    try_request(address, bytes).expect("an answer")
+    try_request(address, bytes).expect("a complete response")
 }
 
-/// Sends requests of one class, `at_once` at a time and each on a connection of its own; their statuses.
+/// Sends at least `count` requests of one class, in rounds of `concurrency` at a time and each on a new connection.
+/// `deadline_ms` is the time that the client still waits. Returns the statuses; 0 stands for a request without a
+/// response.
 pub fn send_concurrently(
     node: &Node,
     class: &str,
     deadline_ms: u64,
     count: usize,
-    at_once: usize,
+    concurrency: usize,
 ) -> Vec<u16> {
     let address = node.address;
     let mut statuses = Vec::new();
-    for _ in 0..count.div_ceil(at_once) {
-        let requests: Vec<_> = (0..at_once)
+    for _ in 0..count.div_ceil(concurrency) {
+        let requests: Vec<_> = (0..concurrency)
             .map(|_| {
                 let bytes = request(class, deadline_ms);
                 thread::spawn(move || try_request(address, &bytes).map_or(0, |m| m.status()))
@@ -75,17 +79,19 @@
     statuses
 }
 
-/// Sends requests until `staying` has served some more, and asserts that `leaving` gets none. One of many nodes may
-/// reject one of several requests that are answered late, so not each is served.
+/// Sends requests until `active` has received 20 more, and asserts that `draining` receives none.
+///
+/// A node that is one of many may reject some of several concurrent requests when their responses are late, so the
+/// status of the single request is not checked.
 pub fn assert_draining_endpoint_gets_no_requests(
     node: &Node,
-    leaving: &RequestRecord,
-    staying: &RequestRecord,
+    draining: &RequestRecord,
+    active: &RequestRecord,
 ) {
-    let (left, stayed) = (leaving.count(), staying.count());
-    wait_for("the staying endpoint serves", || {
+    let (draining_before, active_before) = (draining.count(), active.count());
+    wait_for("the active endpoint receives 20 requests", || {
         send_request(node.address, &request("bid", 900));
-        staying.count() >= stayed + 20
+        active.count() >= active_before + 20
     });
-    assert_eq!(leaving.count(), left, "sent to an endpoint that leaves");
+    assert_eq!(draining.count(), draining_before, "requests were sent to a draining endpoint");
 }
--- a/tests/node/discovery_stub.rs
+++ b/tests/node/discovery_stub.rs
@@ -1,4 +1,7 @@
-//! A discovery service that sends the list that a test sets, or misbehaves as the test says.
+//! Stands in for the discovery service: serves the endpoint list that a test sets, and fails on the test's demand.
+//!
+//! A call asks for the changes after a version (`after=`). A poll is answered at once; a watch is a long poll that
+//! waits for a change for up to `wait_ms=` milliseconds.
 
 use super::http::{Message, response};
 use super::sockets::loopback;
@@ -9,41 +12,42 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The list, and how calls are answered.
+/// The endpoint list, and how calls are answered.
 #[derive(Default)]
 struct ListState {
     version: u64,
     targets: Vec<Value>,
-    /// The targets are the last changes, not the full list.
+    /// Responses carry `targets` as changes to the list, not as the full list.
     sends_deltas: bool,
-    /// Calls are read and never answered.
+    /// Calls are read and never answered. Calls that were already waiting are not affected.
     ignores_calls: bool,
-    /// Calls that were ignored and are still open.
+    /// Ignored calls whose connection the caller has not closed yet.
     open_ignored_calls: usize,
-    /// No call is answered for now.
+    /// Delays the response to every call until this is unset.
     holds_answers: bool,
-    /// No watch is answered for now; other calls are.
+    /// Delays the response to every watch until this is unset, and answers polls.
     holds_watches: bool,
-    /// Watches are answered at once, with or without a change.
+    /// Answers watches at once, with or without a change.
     answers_immediately: bool,
-    /// So many calls to come are rejected.
+    /// The number of further calls that are answered with 503.
     calls_to_reject: u32,
-    /// How many calls came.
-    calls: u32,
-    /// The first line of each call.
+    /// The number of calls received, ignored and rejected ones included.
+    call_count: u32,
+    /// The request line of each call received, in order.
     call_lines: Vec<String>,
 }
 
 impl ListState {
-    /// Whether a call for changes after a version is to wait, if it may wait until `end`.
+    /// Whether a call for the changes after version `after` must wait: a watch until there is a change, or until `end`;
+    /// a held call for as long as it is held.
     fn must_wait(&self, after: u64, is_watch: bool, end: Instant) -> bool {
         let is_held = self.holds_answers || (self.holds_watches && is_watch);
         let awaits_change = !self.answers_immediately && self.version <= after && Instant::now() < end;
         is_held || awaits_change
     }
 
-    /// The answer to a call for changes after a version.
-    fn answer(&mut self, after: u64) -> Vec<u8> {
+    /// Builds the response to a call for the changes after version `after`.
+    fn build_response(&mut self, after: u64) -> Vec<u8> {
         if self.calls_to_reject > 0 {
             self.calls_to_reject -= 1;
             return response("503 Service Unavailable", "", b"");
@@ -56,14 +60,14 @@
     }
 }
 
-/// The number that follows a name in the first line of a call; 0 where there is none.
+/// Returns the number that follows `name` in a request line, or 0 if there is none.
 fn number_after(line: &str, name: &str) -> u64 {
     let digits =
         line.split_once(name).and_then(|(_, rest)| rest.split(|c: char| !c.is_ascii_digit()).next());
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
 
-/// A discovery service whose answers tests set.
+/// A running discovery service. Clones share the list and the listener.
 #[derive(Clone)]
 pub struct DiscoveryStub {
     state: Arc<(Mutex<ListState>, Condvar)>,
@@ -80,16 +84,17 @@
         let address = listener.local_addr().unwrap();
         let state = ListState { version: 1, targets, ..ListState::default() };
         let discovery = DiscoveryStub { state: Arc::new((Mutex::new(state), Condvar::new())), address };
-        let own = discovery.clone();
+        let stub = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let own = own.clone();
-                thread::spawn(move || own.serve_connection(stream.unwrap()));
+                let stub = stub.clone();
+                thread::spawn(move || stub.serve_connection(stream.unwrap()));
             }
         });
         discovery
     }
 
+    /// Answers the calls of one connection, one after the other, until the caller closes it.
     fn serve_connection(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(message) = Message::read(&mut reader) {
@@ -98,12 +103,12 @@
             let end = Instant::now() + Duration::from_millis(wait_ms);
             let (lock, changed) = &*self.state;
             let mut state = lock.lock().unwrap();
-            state.calls += 1;
+            state.call_count += 1;
             state.call_lines.push(message.first_line.clone());
             if state.ignores_calls {
                 state.open_ignored_calls += 1;
                 drop(state);
-                // The end of the connection shows that the caller has given up.
+                // This read returns when the caller gives up the call and closes the connection.
                 let _ = reader.read(&mut [0]);
                 self.state.0.lock().unwrap().open_ignored_calls -= 1;
                 return;
@@ -111,15 +116,15 @@
             while state.must_wait(after, wait_ms > 0, end) {
                 state = changed.wait_timeout(state, Duration::from_millis(50)).unwrap().0;
             }
-            let answer = state.answer(after);
+            let response = state.build_response(after);
             drop(state);
-            if stream.write_all(&answer).is_err() {
+            if stream.write_all(&response).is_err() {
                 return;
             }
         }
     }
 
-    /// Replaces the list, as a new version.
+    /// Replaces the list, increments the version, and wakes the waiting watches.
     pub fn set(&self, targets: Vec<Value>) {
         let mut state = self.state.0.lock().unwrap();
         state.version += 1;
@@ -127,58 +132,58 @@
         self.state.1.notify_all();
     }
 
-    /// Sets the version and the list without waking a watch, as a service that counts versions anew.
+    /// Sets the version and the list without waking a watch, as a service does that restarts its version count.
     pub fn set_version_without_notifying(&self, version: u64, targets: Vec<Value>) {
         let mut state = self.state.0.lock().unwrap();
         (state.version, state.targets) = (version, targets);
     }
 
-    /// Sends these entries as the changes of a new version.
+    /// Sends these entries as the changes of a new version; from now on every response carries changes only.
     pub fn set_delta(&self, targets: Vec<Value>) {
         self.state.0.lock().unwrap().sends_deltas = true;
         self.set(targets);
     }
 
-    /// Whether calls from now on are never answered.
+    /// Sets whether calls received from now on are read and never answered.
     pub fn ignore_calls(&self, ignore: bool) {
         self.state.0.lock().unwrap().ignores_calls = ignore;
     }
 
-    /// How many ignored calls are still open.
+    /// The number of ignored calls whose connection the caller has not closed yet.
     pub fn open_ignored_calls(&self) -> usize {
         self.state.0.lock().unwrap().open_ignored_calls
     }
 
-    /// Whether answers wait until this is revoked.
+    /// Sets whether responses are delayed until this is called with `false`.
     pub fn hold_answers(&self, hold: bool) {
         self.state.0.lock().unwrap().holds_answers = hold;
         self.state.1.notify_all();
     }
 
-    /// Rejects so many calls to come.
+    /// Answers the next `calls` calls with 503; a watch that waits now counts as one when its wait ends.
     pub fn reject_calls(&self, calls: u32) {
         self.state.0.lock().unwrap().calls_to_reject = calls;
     }
 
-    /// Holds the answers to watches alone, and rejects so many other calls.
+    /// Answers the next `calls` polls with 503 and holds the responses to watches; ends `hold_answers`.
     pub fn hold_watches_and_reject_polls(&self, calls: u32) {
         let mut state = self.state.0.lock().unwrap();
         (state.holds_answers, state.holds_watches, state.calls_to_reject) = (false, true, calls);
         self.state.1.notify_all();
     }
 
-    /// Whether watches are answered at once, with or without a change.
-    pub fn answer_immediately(&self, at_once: bool) {
-        self.state.0.lock().unwrap().answers_immediately = at_once;
+    /// Sets whether watches are answered at once, with or without a change.
+    pub fn answer_immediately(&self, immediately: bool) {
+        self.state.0.lock().unwrap().answers_immediately = immediately;
     }
 
-    /// The first lines of the calls so far.
+    /// The request lines of the calls received so far, in order.
     pub fn call_lines(&self) -> Vec<String> {
         self.state.0.lock().unwrap().call_lines.clone()
     }
 
-    /// How many calls came so far.
+    /// The number of calls received so far, ignored and rejected ones included.
     pub fn call_count(&self) -> u32 {
-        self.state.0.lock().unwrap().calls
+        self.state.0.lock().unwrap().call_count
     }
 }
--- a/tests/node/endpoint_stub.rs
+++ b/tests/node/endpoint_stub.rs
@@ -1,4 +1,4 @@
-//! Endpoints that do with each request what a script says, and record what they were sent.
+//! Stands in for endpoints: answers each request as a test's script says, and records the requests received.
 
 use super::http::{Message, response};
 use super::waiting::wait_for;
@@ -10,77 +10,85 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long after its response a connection is closed that is closed later.
+/// How long after the response `ScriptedResponse::SendAndCloseLater` closes the connection.
 const CLOSE_DELAY: Duration = Duration::from_millis(50);
 
-/// Holds answers back until a test opens it.
+/// Delays responses until a test opens the gate.
 #[derive(Debug, Default)]
 pub struct Gate {
-    open: Mutex<bool>,
+    is_open: Mutex<bool>,
     opened: Condvar,
-    /// Answers written since.
-    answers: AtomicU32,
+    /// The number of responses written after the gate was opened.
+    responses: AtomicU32,
 }
 
 impl Gate {
     fn wait(&self) {
-        let open = self.open.lock().unwrap();
-        drop(self.opened.wait_while(open, |open| !*open).unwrap());
+        let is_open = self.is_open.lock().unwrap();
+        drop(self.opened.wait_while(is_open, |is_open| !*is_open).unwrap());
     }
 
-    /// Lets the answers out, and waits until `answers` of them are written.
-    pub fn open(&self, answers: u32) {
-        *self.open.lock().unwrap() = true;
+    /// Opens the gate, and waits until `responses` responses are written.
+    pub fn open(&self, responses: u32) {
+        *self.is_open.lock().unwrap() = true;
         self.opened.notify_all();
-        wait_for("the answers are written", || self.answers.load(Ordering::SeqCst) >= answers);
+        wait_for("the responses are written", || self.responses.load(Ordering::SeqCst) >= responses);
     }
 }
 
-/// What an endpoint does with a request.
+/// How an endpoint responds to one request. Bytes are written as they are, so that a test can send invalid HTTP.
 #[derive(Clone, Debug)]
 pub enum ScriptedResponse {
-    /// Writes this and keeps the connection.
+    /// Writes the bytes and keeps the connection open.
     Send(Vec<u8>),
-    /// Writes this and closes.
+    /// Writes the bytes and closes the connection.
     SendAndClose(Vec<u8>),
-    /// Writes this and closes a moment after the other side has read it.
+    /// Writes the bytes and closes the connection after `CLOSE_DELAY`, when the node has read them.
     SendAndCloseLater(Vec<u8>),
-    /// Writes the first part, and the second so much later.
+    /// Writes the first part, pauses, and writes the second part.
     SendInTwoParts(Vec<u8>, Duration, Vec<u8>),
-    /// Writes this once the gate is open.
+    /// Writes the bytes once the gate is open.
     SendWhenOpen(Arc<Gate>, Vec<u8>),
-    /// Keeps the connection and writes nothing.
+    /// Writes nothing and keeps the connection open.
     Silent,
 }
 
+/// A response with status 200 on a connection that stays open.
 pub fn ok(body: &[u8]) -> ScriptedResponse {
     ScriptedResponse::Send(response("200 OK", "", body))
 }
 
-/// What an endpoint does with its n-th request.
+/// Chooses the response to a request. The number counts the requests over all endpoints that share the
+/// `RequestRecord`, from 0.
 pub type Script = Arc<dyn Fn(usize, &Message) -> ScriptedResponse + Send + Sync>;
 
-/// What endpoints were sent; several may share one.
+/// The requests and connections that one or more endpoints received. Clones share the same record.
 #[derive(Clone, Default)]
 pub struct RequestRecord {
+    /// All requests, in the order of their arrival.
     pub requests: Arc<Mutex<Vec<Message>>>,
+    /// The number of connections accepted.
     pub connections_opened: Arc<AtomicU32>,
+    /// The number of these connections that either side has closed since.
     pub connections_closed: Arc<AtomicU32>,
-    /// The longest measured pause between two parts of a response: a busy machine makes it longer than scripted.
+    /// The longest measured pause between the two parts of a `SendInTwoParts` response. On a busy machine it is longer
+    /// than scripted.
     pub longest_pause_ms: Arc<AtomicU64>,
 }
 
 impl RequestRecord {
+    /// The number of requests received.
     pub fn count(&self) -> usize {
         self.requests.lock().unwrap().len()
     }
 
+    /// The number of connections that are open now.
     pub fn open_connections(&self) -> u32 {
         self.connections_opened.load(Ordering::SeqCst) - self.connections_closed.load(Ordering::SeqCst)
     }
 }
 
-/// Starts an endpoint. `script` gets the number of the request over all endpoints of the record, from 0.
+/// Starts one endpoint on a free port. See [`Script`] for the arguments of `script`.
 pub fn start_endpoint(
     record: &RequestRecord,
     script: impl Fn(usize, &Message) -> ScriptedResponse + Send + Sync + 'static,
@@ -91,7 +99,7 @@
     address
 }
 
-/// Starts `count` endpoints with one script.
+/// Starts `count` endpoints that share one script and one record.
 pub fn start_endpoints(
     count: usize,
     record: &RequestRecord,
@@ -108,7 +116,7 @@
         .collect()
 }
 
-/// Serves a listener as an endpoint.
+/// Accepts connections on `listener` and answers their requests, in threads of their own.
 pub fn serve_endpoint(listener: TcpListener, record: &RequestRecord, script: Script) {
     let record = record.clone();
     thread::spawn(move || {
@@ -130,7 +138,7 @@
             requests.push(message.clone());
             requests.len() - 1
         };
-        if !perform(script(number, &message), &mut stream, record) {
+        if !write_scripted(script(number, &message), &mut stream, record) {
             break;
         }
     }
@@ -138,9 +146,9 @@
     record.connections_closed.fetch_add(1, Ordering::SeqCst);
 }
 
-/// Carries out a reply; false where the connection is to be closed after it.
-fn perform(response: ScriptedResponse, stream: &mut TcpStream, record: &RequestRecord) -> bool {
-    // The node may have closed the connection meanwhile.
+/// Writes a scripted response. Returns `false` if the connection must be closed after it.
+fn write_scripted(response: ScriptedResponse, stream: &mut TcpStream, record: &RequestRecord) -> bool {
+    // Write errors are ignored: the node may have closed the connection in the meantime.
     let mut write = |bytes: &[u8]| drop(stream.write_all(bytes));
     match response {
         ScriptedResponse::Send(bytes) => write(&bytes),
@@ -164,20 +172,20 @@
         ScriptedResponse::SendWhenOpen(gate, bytes) => {
             gate.wait();
             write(&bytes);
-            gate.answers.fetch_add(1, Ordering::SeqCst);
+            gate.responses.fetch_add(1, Ordering::SeqCst);
         }
         ScriptedResponse::Silent => {}
     }
     true
 }
 
-/// An entry of discovery's list.
+/// An entry of the discovery service's list. `state` is `up`, `draining` or `removed`.
 pub fn target(uid: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "model": "m", "pod_group": 0,
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// A list with all of `addresses` up, named s-0, s-1 and so on.
+/// A list in which all of `addresses` have state `up` and the ids s-0, s-1 and so on.
 pub fn all_up(addresses: &[SocketAddr]) -> Vec<Value> {
     addresses.iter().enumerate().map(|(n, a)| target(&format!("s-{n}"), *a, "up")).collect()
 }
--- a/tests/node/faults.rs
+++ b/tests/node/faults.rs
@@ -1,4 +1,4 @@
-//! System calls that fail in a node under test: the preloaded library of `tests/shim/faults.c`.
+//! Makes system calls of a node under test fail, by the preloaded library `tests/shim/faults.c`.
 #![allow(dead_code)]
 
 use std::fs::File;
@@ -9,7 +9,9 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// What can be made to fail, in the order of the library's control file. A rate of N fails one call in N.
+/// One number of the library's control file, in the order of the file. The names with a unit and `Seed` are parameters;
+/// each other one is the rate of a fault: with N one call in N fails, with 0 none. `enum setting` in the library says
+/// which calls fail and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u64)]
 pub enum FaultSetting {
@@ -33,9 +35,10 @@
     DelayedRename,
 }
 
-const NUMBERS: usize = FaultSetting::DelayedRename as usize + 1;
+/// How many numbers the control file holds.
+const SETTING_COUNT: usize = FaultSetting::DelayedRename as usize + 1;
 
-/// The library, built once for each test binary.
+/// Builds the library, once for each test binary, and returns its path.
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -49,31 +52,33 @@
     })
 }
 
-/// The faults of one process or of several, which can be changed while they run.
+/// A control file: the faults of one or more processes, which can be changed while the processes run.
 pub struct SyscallFaults {
     path: PathBuf,
     file: File,
 }
 
 impl SyscallFaults {
-    /// With no fault set yet.
+    /// Creates a control file without any fault. `seed` seeds the generator that chooses the calls that fail.
     pub fn new(seed: i64) -> SyscallFaults {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("faults-{}-{n}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        std::fs::write(&path, vec![0; NUMBERS * 8]).unwrap();
+        std::fs::write(&path, vec![0; SETTING_COUNT * 8]).unwrap();
         let file = File::options().write(true).open(&path).unwrap();
         let faults = SyscallFaults { path, file };
         faults.set(FaultSetting::Seed, seed);
         faults
     }
 
-    pub fn set(&self, fault: FaultSetting, value: i64) {
-        self.file.write_all_at(&value.to_ne_bytes(), fault as u64 * 8).unwrap();
+    /// Sets one number of the control file. It takes effect at once, except for `Seed`, which is read when the library is
+    /// loaded.
+    pub fn set(&self, setting: FaultSetting, value: i64) {
+        self.file.write_all_at(&value.to_ne_bytes(), setting as u64 * 8).unwrap();
     }
 
-    /// Has a process meet them.
+    /// Makes a process that is about to be started load the library and follow this control file.
     pub fn preload(&self, command: &mut Command) {
         command.env("LD_PRELOAD", library()).env("FAULTS_CONTROL", &self.path);
     }
--- a/tests/node/http.rs
+++ b/tests/node/http.rs
@@ -1,10 +1,11 @@
-//! HTTP messages, read and written byte by byte so that tests can send anything.
+//! Reads and writes HTTP messages as plain bytes, so that tests can also send malformed ones.
 
 use std::collections::HashMap;
 use std::io::{BufRead, Read};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// One HTTP message as it came.
+/// One HTTP request or response as received. Header names are in lower case; of a repeated header the last value is
+/// kept.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub first_line: String,
@@ -13,6 +14,8 @@
 }
 
 impl Message {
+    /// Reads one message. Its body has the length of the `Content-Length` header, or 0 if that is absent. Returns
+    /// `None` if the stream ends or fails first, or if a header line has no colon.
     pub fn read(stream: &mut impl BufRead) -> Option<Message> {
         let mut message = Message::default();
         loop {
@@ -36,16 +39,18 @@
         Some(message)
     }
 
+    /// Returns the value of a header, whose name must be given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 
+    /// The status code of a response, or 0 if the first line has none.
     pub fn status(&self) -> u16 {
         self.first_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 }
 
-/// A response in full.
+/// A complete response. `status` is the code with its reason phrase; each line of `headers` ends with CRLF.
 pub fn response(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes =
         format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n", body.len()).into_bytes();
@@ -53,7 +58,8 @@
     bytes
 }
 
-/// A request of a class, in the protocol's form.
+/// A request of class `page` (GET), `pay` (POST with an idempotency key) or another one (POST), with an id of its own.
+/// `expires_ms` is the time for which the client still waits for the response.
 pub fn request(class: &str, expires_ms: u64) -> Vec<u8> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test: the real program, with small stand-ins for endpoints, discovery and clients on loopback.
+//! Runs the real node program as a process, with stubs for its endpoints, discovery service and clients on loopback.
 #![allow(dead_code, unused_imports)]
 
 pub mod client;
--- a/tests/node/node_process.rs
+++ b/tests/node/node_process.rs
@@ -1,4 +1,4 @@
-//! The real program, started as a process of its own.
+//! Starts the node program as a process, and controls it by its configuration, its admin connection and signals.
 
 use super::client::try_request;
 use super::faults::SyscallFaults;
@@ -10,6 +10,7 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
+/// The `settings` of a node's configuration, unless a test edits them.
 pub fn default_settings() -> Value {
     json!({
         "areas": ["a", "b"], "zone": "a", "instances": 1, "slotNo": 0, "tickMs": 5.0,
@@ -28,65 +29,69 @@
     })
 }
 
-/// A running node; it is killed when dropped.
+/// One process of a node. It is killed when dropped.
 pub struct Node {
+    /// Where clients connect.
     pub address: SocketAddr,
     child: Child,
-    file: std::path::PathBuf,
+    config_path: std::path::PathBuf,
     config: Value,
 }
 
 impl Node {
-    /// Starts one and waits until it says it can serve.
-    pub fn start(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Node {
-        let node = Node::launch(discovery, change, "exec \"$0\"");
+    /// Starts a node and waits until it is ready.
+    pub fn start(discovery: SocketAddr, edit_config: impl FnOnce(&mut Value)) -> Node {
+        let node = Node::launch(discovery, edit_config, "exec \"$0\"");
         wait_for("/up is 200", || node.readiness_status() == 200);
         node
     }
 
-    /// The same, with system calls that fail.
+    /// Starts a node whose system calls fail as `faults` says, and waits until it is ready.
     pub fn start_with_faults(
         discovery: SocketAddr,
         faults: &SyscallFaults,
-        change: impl FnOnce(&mut Value),
+        edit_config: impl FnOnce(&mut Value),
     ) -> Node {
-        let node = Node::spawn(discovery, free_address(), change, "exec \"$0\"", |c| faults.preload(c));
+        let node =
+            Node::spawn(discovery, free_address(), edit_config, "exec \"$0\"", |c| faults.preload(c));
         wait_for("/up is 200", || node.readiness_status() == 200);
         node
     }
 
-    /// Starts one by a shell command in which `$0` is the program.
-    pub fn launch(discovery: SocketAddr, change: impl FnOnce(&mut Value), command: &str) -> Node {
-        Node::spawn(discovery, free_address(), change, command, |_| {})
+    /// Starts a node by a shell script in which `$0` is the program, without waiting for it. The script must `exec` the
+    /// program, so that signals reach it.
+    pub fn launch(discovery: SocketAddr, edit_config: impl FnOnce(&mut Value), script: &str) -> Node {
+        Node::spawn(discovery, free_address(), edit_config, script, |_| {})
     }
 
-    /// Starts one that inherits a listening socket as descriptor 3, without waiting for it.
+    /// Starts a node that inherits a listening socket as descriptor 3 and keeps its state files in `state_dir`, without
+    /// waiting for it.
     pub fn launch_inheriting(
         discovery: SocketAddr,
         listener: &TcpListener,
-        tmp: &std::path::Path,
-        change: impl FnOnce(&mut Value),
+        state_dir: &std::path::Path,
+        edit_config: impl FnOnce(&mut Value),
     ) -> Node {
-        Node::launch_inheriting_with(discovery, listener, tmp, change, |_| {})
+        Node::launch_inheriting_with(discovery, listener, state_dir, edit_config, |_| {})
     }
 
-    /// The same, with a word on how its process is started.
+    /// Does the same as `launch_inheriting`; `set_up_command` may change the command before it is started.
     pub fn launch_inheriting_with(
         discovery: SocketAddr,
         listener: &TcpListener,
-        tmp: &std::path::Path,
-        change: impl FnOnce(&mut Value),
-        set_up: impl FnOnce(&mut Command),
+        state_dir: &std::path::Path,
+        edit_config: impl FnOnce(&mut Value),
+        set_up_command: impl FnOnce(&mut Command),
     ) -> Node {
         let socket = std::os::fd::OwnedFd::from(listener.try_clone().unwrap());
         let address = listener.local_addr().unwrap();
-        Node::spawn(discovery, address, change, "exec \"$0\" 3<&0 0</dev/null", |c| {
-            c.stdin(socket).env("LB_INHERITED_FD", "3").env("TMPDIR", tmp);
-            set_up(c);
+        Node::spawn(discovery, address, edit_config, "exec \"$0\" 3<&0 0</dev/null", |c| {
+            c.stdin(socket).env("LB_INHERITED_FD", "3").env("TMPDIR", state_dir);
+            set_up_command(c);
         })
     }
 
-    /// Ends it at once, as the system does with SIGKILL.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -95,9 +100,9 @@
     fn spawn(
         discovery: SocketAddr,
         address: SocketAddr,
-        change: impl FnOnce(&mut Value),
-        command: &str,
-        set_up: impl FnOnce(&mut Command),
+        edit_config: impl FnOnce(&mut Value),
+        script: &str,
+        set_up_command: impl FnOnce(&mut Command),
     ) -> Node {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let mut config = json!({
@@ -105,91 +110,95 @@
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"rev": 0, "all": true, "targets": []}, "settings": default_settings()
         });
-        change(&mut config);
+        edit_config(&mut config);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("wheelpath-node-test-{}-{n}.json", std::process::id());
-        let file = std::env::temp_dir().join(name);
-        std::fs::write(&file, config.to_string()).unwrap();
-        let mut start = Command::new("/bin/sh");
-        start
-            .args(["-c", command, env!("CARGO_BIN_EXE_wheelpath-node")])
-            .env("LB_CONFIG", &file)
+        let config_path = std::env::temp_dir().join(name);
+        std::fs::write(&config_path, config.to_string()).unwrap();
+        let mut command = Command::new("/bin/sh");
+        command
+            .args(["-c", script, env!("CARGO_BIN_EXE_wheelpath-node")])
+            .env("LB_CONFIG", &config_path)
             .env("LB_DISCOVERY", discovery.to_string())
             .stderr(Stdio::piped());
-        set_up(&mut start);
-        let child = start.spawn().unwrap();
-        Node { address, child, file, config }
+        set_up_command(&mut command);
+        let child = command.spawn().unwrap();
+        Node { address, child, config_path, config }
     }
 
-    /// Its process.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Where operators call, as it was told.
+    /// The configured address for admin commands.
     pub fn admin_address(&self) -> SocketAddr {
         self.config["console"].as_str().unwrap().parse().unwrap()
     }
 
-    /// What the console answers to a line.
+    /// Sends one admin command and returns the answer. `line` is given without its line feed.
     pub fn admin_command(&self, line: &str) -> String {
         admin_command(self.admin_address(), format!("{line}\n").as_bytes())
     }
 
-    /// Replaces the configuration and has it read.
+    /// Replaces the configuration by one with another discovery address, and has the node read it.
     pub fn reload(&mut self, discovery: SocketAddr) {
         self.config["discovery"] = discovery.to_string().into();
         self.reload_text(&self.config.to_string());
     }
 
-    /// The same while the node stands still, and has it meet the notice to stop in the same turn.
+    /// Does the same as `reload` and sends SIGTERM, both while the node is suspended, so that it finds both signals in
+    /// one turn of its event loop.
     pub fn reload_and_terminate_while_suspended(&mut self, discovery: SocketAddr) {
         self.config["discovery"] = discovery.to_string().into();
-        std::fs::write(&self.file, self.config.to_string()).unwrap();
+        std::fs::write(&self.config_path, self.config.to_string()).unwrap();
         self.while_suspended(|| {
             self.signal("-HUP");
             self.terminate();
         });
     }
 
-    /// The same with any text.
+    /// Replaces the configuration file by any text, and has the node read it.
     pub fn reload_text(&self, text: &str) {
-        std::fs::write(&self.file, text).unwrap();
+        std::fs::write(&self.config_path, text).unwrap();
         self.signal("-HUP");
     }
 
+    /// The status of a readiness check, or 0 if there is no response.
     pub fn readiness_status(&self) -> u16 {
         try_request(self.address, b"GET /up HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n")
             .map_or(0, |m| m.status())
     }
 
+    /// The number of file descriptors that the process has open.
     pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Memory that it has in use.
+    /// The resident memory of the process, in KiB.
     pub fn resident_memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmRSS")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// Clock ticks of CPU used so far.
+    /// The CPU time that the process has used so far, user and system, in clock ticks (usually 10 ms).
     pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
+        // `utime` and `stime`; the fields are counted from behind the program's name, which may contain spaces.
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
-    /// Does something while the node stands still, so that it meets all of it in one turn.
-    pub fn while_suspended<T>(&self, act: impl FnOnce() -> T) -> T {
+    /// Runs `action` while the node is suspended, so that the node finds all its effects in one turn of its event loop.
+    pub fn while_suspended<T>(&self, action: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.pid());
         let state = || std::fs::read_to_string(&stat).unwrap().rsplit(") ").next().unwrap().chars().next();
-        wait_for("the node stands still", || state() == Some('T'));
-        let done = act();
+        wait_for("the node is suspended", || state() == Some('T'));
+        let result = action();
         self.signal("-CONT");
-        done
+        result
     }
 
     pub fn terminate(&self) {
@@ -205,17 +214,17 @@
         self.child.try_wait().unwrap().is_none()
     }
 
-    /// Waits for its end.
+    /// Waits until the process has ended.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_for("the node ends", || {
+        wait_for("the node has ended", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
         status.unwrap()
     }
 
-    /// What it wrote; it must have ended.
+    /// Returns the process's log, all it wrote to standard error. The process must have ended.
     pub fn log(&mut self) -> String {
         let mut text = String::new();
         self.child.stderr.take().unwrap().read_to_string(&mut text).unwrap();
@@ -227,13 +236,13 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
 
-/// What a console answers to some bytes, all of it up to its close.
-pub fn admin_command(console: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect_timeout(&console, WAIT_TIMEOUT).unwrap();
+/// Sends bytes as an admin command, and returns the answer up to the close of the connection.
+pub fn admin_command(address: SocketAddr, bytes: &[u8]) -> String {
+    let mut stream = TcpStream::connect_timeout(&address, WAIT_TIMEOUT).unwrap();
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(bytes).unwrap();
     let mut answer = String::new();
--- a/tests/node/sockets.rs
+++ b/tests/node/sockets.rs
@@ -1,4 +1,4 @@
-//! Addresses and sockets on loopback, and what the system says of them.
+//! Provides loopback addresses and listeners, and reads the states of TCP sockets from the system.
 
 use super::waiting::WAIT_TIMEOUT;
 use socket2::{Domain, Socket, Type};
@@ -6,7 +6,8 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A listener with room for one connection: no other is established until that is accepted.
+/// A listener whose accept queue holds one connection. A further connect stays in `SYN_SENT` until that connection is
+/// accepted, so that a test can hold a handshake open.
 pub fn listener_with_backlog_of_one() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&loopback(0).into()).unwrap();
@@ -15,7 +16,7 @@
     (socket, address)
 }
 
-/// All bytes of the next connection.
+/// Accepts the next connection and reads it until the peer closes it.
 pub fn accept_and_read_to_end(listener: &Socket) -> String {
     let mut stream = TcpStream::from(listener.accept().unwrap().0);
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
@@ -24,24 +25,25 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// The state of a connecting socket, as the system lists it.
+/// The state of a socket whose handshake is in progress, as `/proc/net/tcp` writes it.
 pub const SYN_SENT: &str = "02";
 
-/// Whether a socket to `remote` is in that state.
+/// Whether any socket on this machine that is connected or connecting to the port of `remote` is in `state`.
 pub fn has_tcp_socket_in_state(remote: SocketAddr, state: &str) -> bool {
     count_tcp_sockets_in_state(remote, state) > 0
 }
 
-/// How many sockets to `remote` are in that state.
+/// The number of sockets on this machine with the remote port of `remote` that are in `state`.
 pub fn count_tcp_sockets_in_state(remote: SocketAddr, state: &str) -> usize {
     let sockets = std::fs::read_to_string("/proc/net/tcp").unwrap();
     sockets.matches(&format!(":{:04X} {state}", remote.port())).count()
 }
 
-/// An address of this process alone, with a port that nothing listens on.
+/// An address that no other test process uses, with a port that nothing listens on.
 ///
-/// It is found by binding, without listening: a child process of another test holds copies of all sockets until it
-/// runs its program, and a copy that listened would accept connections and keep the node from listening there.
+/// The IP address is derived from the process id. The port is found by binding a socket without listening on it: a
+/// child process forked by another test holds copies of all sockets until it executes its program. A copy of a
+/// listening socket would accept connections and keep the node from listening on the address.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/tests/node/waiting.rs
+++ b/tests/node/waiting.rs
@@ -1,25 +1,26 @@
-//! Waiting for what a test expects, with an upper bound.
+//! Waits for conditions that a test expects, with an upper bound.
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything that should happen.
+/// The longest wait for a condition, and the time-out of reads and connects. It is far longer than any condition should
+/// take, so that tests pass on a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Waits until `done`, for `WAIT_TIMEOUT` at most.
-pub fn wait_for(what: &str, done: impl FnMut() -> bool) {
-    wait_until(Instant::now() + WAIT_TIMEOUT, what, done);
+/// Waits until `condition` holds, and panics with its description `what` after `WAIT_TIMEOUT`.
+pub fn wait_for(what: &str, condition: impl FnMut() -> bool) {
+    wait_until(Instant::now() + WAIT_TIMEOUT, what, condition);
 }
 
-/// Waits until `done`, which must be so by `end`.
-pub fn wait_until(end: Instant, what: &str, mut done: impl FnMut() -> bool) {
-    while !done() {
-        assert!(Instant::now() < end, "not so in time: {what}");
+/// Waits until `condition` holds, and panics with its description `what` if it does not hold by `deadline`.
+pub fn wait_until(deadline: Instant, what: &str, mut condition: impl FnMut() -> bool) {
+    while !condition() {
+        assert!(Instant::now() < deadline, "condition not met in time: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Waits for longer than a connection to an endpoint must be quiet after a response before it is used again.
+/// Waits for longer than the node keeps a connection to an endpoint unused after a response before it reuses it.
 pub fn wait_until_connection_is_reusable() {
     thread::sleep(Duration::from_millis(50));
 }
