--- a/tests/node_admin.rs
+++ b/tests/node_admin.rs
@@ -230,8 +230,8 @@
     );
 }
 
-/// A connection whose next request has arrived in part is not idle: a drain or SIGTERM that closes it as idle would lose
-/// the request. The two rounds send that request on a new connection and on a reused one.
+/// A connection on which part of a request has arrived is not idle: a drain or SIGTERM that closes it as idle would
+/// lose the request. The rounds send that request on a new connection and on a reused one.
 #[test]
 fn a_slow_request_head_is_answered_during_a_drain() {
     let (mut node, record) = start_node(1);
--- a/tests/node_clients.rs
+++ b/tests/node_clients.rs
@@ -1,4 +1,5 @@
-//! What clients get wrong, and what the node itself runs out of: told so, and never a crash.
+//! Malformed requests, wrong settings, and too few descriptors for the clients: the node answers, logs the cause, and
+//! keeps running.
 mod node;
 
 use node::*;
@@ -8,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-type Change = fn(&mut Value);
+type ConfigEdit = fn(&mut Value);
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of malformed inputs and their answers")]
@@ -20,11 +21,14 @@
     let head = "Host: n\r\nX-Trace-Id: 1\r\n";
     let large = format!("POST /api HTTP/1.1\r\n{head}X-Qos: bid\r\nContent-Length: 33554433\r\n\r\n");
     let huge = format!("POST /api HTTP/1.1\r\n{head}X-Qos: bid\r\nContent-Length: 3000000000\r\n\r\n");
-    // What may hide another request in its body, either way round.
-    let hidden = "0\r\n\r\nPOST /api HTTP/1.1\r\nHost: n\r\nX-Trace-Id: 2\r\nX-Qos: bid\r\nContent-Length: 0\r\n\r\n";
-    let smuggled =
-        |framing: &str| format!("POST /api HTTP/1.1\r\n{head}X-Qos: bid\r\n{framing}\r\n{hidden}");
-    let bid = |lines: &str| format!("POST /api HTTP/1.1\r\n{head}X-Qos: bid\r\n{lines}\r\nbody");
+    // Request smuggling: with both framing headers, one HTTP implementation may take the end of the body for another
+    // request. Requests with both headers must be rejected in either order.
+    let smuggled_request = "0\r\n\r\nPOST /api HTTP/1.1\r\nHost: n\r\nX-Trace-Id: 2\r\nX-Qos: bid\r\nContent-Length: 0\r\n\r\n";
+    let with_both_framings = |framing: &str| {
+        format!("POST /api HTTP/1.1\r\n{head}X-Qos: bid\r\n{framing}\r\n{smuggled_request}")
+    };
+    let bid_with_headers =
+        |headers: &str| format!("POST /api HTTP/1.1\r\n{head}X-Qos: bid\r\n{headers}\r\nbody");
     let cases: Vec<(u16, String)> = vec![
         (400, "nonsense\r\n\r\n".to_owned()),
         (400, "\x00\x01\x02\r\n\r\n".to_owned()),
@@ -44,26 +48,26 @@
         (404, format!("POST / HTTP/1.1\r\n{head}X-Qos: bid\r\nContent-Length: 0\r\n\r\n")),
         (413, large),
         (413, huge),
-        (400, smuggled("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n")),
-        (400, smuggled("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n")),
-        (400, smuggled("CONTENT-length: 5\r\ntransfer-ENCODING: Chunked\r\n")),
-        (400, bid("Transfer-Encoding: chunked\r\n")),
-        (411, bid("")),
-        (400, bid("Content-Length: -4\r\n")),
-        (400, bid("Content-Length: 4\r\nContent-Length: 5\r\n")),
-        (400, bid("Content-Length: 99999999999999999999999\r\n")),
-        (400, bid("Content-Length: 4\r\nX-Expires-In-Ms: soon\r\n")),
-        (400, bid("Content-Length: 4\r\nX-Expires-In-Ms: -5\r\n")),
-        (400, bid("Content-Length: 4\r\nX-Expires-In-Ms: 99999999999999999999999\r\n")),
+        (400, with_both_framings("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n")),
+        (400, with_both_framings("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n")),
+        (400, with_both_framings("CONTENT-length: 5\r\ntransfer-ENCODING: Chunked\r\n")),
+        (400, bid_with_headers("Transfer-Encoding: chunked\r\n")),
+        (411, bid_with_headers("")),
+        (400, bid_with_headers("Content-Length: -4\r\n")),
+        (400, bid_with_headers("Content-Length: 4\r\nContent-Length: 5\r\n")),
+        (400, bid_with_headers("Content-Length: 99999999999999999999999\r\n")),
+        (400, bid_with_headers("Content-Length: 4\r\nX-Expires-In-Ms: soon\r\n")),
+        (400, bid_with_headers("Content-Length: 4\r\nX-Expires-In-Ms: -5\r\n")),
+        (400, bid_with_headers("Content-Length: 4\r\nX-Expires-In-Ms: 99999999999999999999999\r\n")),
         (400, format!("POST /api HTTP/1.1\r\n{head}X-Qos: unheard-of\r\nContent-Length: 0\r\n\r\n")),
         (400, format!("GET /api HTTP/1.1\r\n{head}X-Qos: page\r\nContent-Length: 4\r\n\r\nbody")),
         (431, format!("GET /api HTTP/1.1\r\n{head}X-Long: {}", "x".repeat(100_000))),
     ];
     for (status, bytes) in cases {
-        let got = try_request(node.address, bytes.as_bytes()).map(|m| m.status());
-        assert_eq!(got, Some(status), "{:?}", bytes.get(..100.min(bytes.len())));
+        let received = try_request(node.address, bytes.as_bytes()).map(|m| m.status());
+        assert_eq!(received, Some(status), "{:?}", bytes.get(..100.min(bytes.len())));
     }
-    // Half a request and a silent leave.
+    // One client closes without a request, and one after half a request.
     drop(Client::connect(node.address));
     let mut half = Client::connect(node.address);
     half.send(b"POST /api HTTP/1.1\r\nX-Trace-Id: 1\r\nX-Qos: bid\r\nContent-Length: 10\r\n\r\nabc");
@@ -75,17 +79,17 @@
 #[test]
 fn the_log_counts_rejected_requests_by_reason() {
     let discovery = DiscoveryStub::start(Vec::new());
-    for (lines, why) in [
+    for (headers, reason) in [
         ("X-Qos: bid\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n", "both a length and chunks"),
         ("X-Qos: other\r\nContent-Length: 0\r\n", "X-Qos names no class"),
     ] {
         let mut node = Node::launch(discovery.address, |_| {}, "exec \"$0\"");
-        wait_for("it listens", || node.readiness_status() == 503);
-        let text = format!("POST /api HTTP/1.1\r\nHost: n\r\nX-Trace-Id: 1\r\n{lines}\r\n0\r\n\r\n");
+        wait_for("the node listens", || node.readiness_status() == 503);
+        let text = format!("POST /api HTTP/1.1\r\nHost: n\r\nX-Trace-Id: 1\r\n{headers}\r\n0\r\n\r\n");
         assert_eq!(try_request(node.address, text.as_bytes()).map(|m| m.status()), Some(400));
         node.terminate();
         assert!(node.wait_for_exit().success());
-        assert!(node.log().contains(&format!("rejected: 1 {why:?}")), "{why}");
+        assert!(node.log().contains(&format!("rejected: 1 {reason:?}")), "{reason}");
     }
 }
 
@@ -95,7 +99,7 @@
     let addresses = start_endpoints(1, &record, |_, _| ok(b""));
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
-    // A socket closed with unread bytes resets, and takes the answer that was under way along.
+    // Closing a socket with unread bytes resets the connection, and the client loses a response that is on its way.
     let cases = [
         (413, "/api", "X-Trace-Id: 1\r\nX-Qos: bid\r\n", 40_000_000, 600_000),
         (404, "/other", "", 60_000, 60_000),
@@ -124,7 +128,7 @@
     let addresses = start_endpoints(4, &record, |_, _| ok(b"x"));
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 64.into());
-    // Three times as many connections as the limit, all kept by their clients.
+    // Three times as many connections as the node may have descriptors, all kept open by their clients.
     let mut clients = Vec::new();
     for n in 0..200 {
         let mut client = Client::connect(node.address);
@@ -137,8 +141,9 @@
 
 #[test]
 fn many_clients_with_one_request_each_are_served_without_delay() {
-    // Found on a recorded day: with every place taken and someone new always about to ask, one connection was
-    // taken in ten milliseconds, and most waited until their time was up.
+    // Guards against a rate of one accepted connection in 10 ms, at which most clients waited until their deadline. It
+    // came about when clients held all connections and one of them was always new, about to send its first request; a
+    // replay of recorded traffic showed it.
     let record = RequestRecord::default();
     let addresses = start_endpoints(4, &record, |_, _| ok(b"x"));
     let discovery = DiscoveryStub::start(all_up(&addresses));
@@ -147,11 +152,11 @@
     thread::scope(|scope| {
         for _ in 0..8 {
             scope.spawn(|| {
-                let mut kept = Vec::new();
+                let mut open_clients = Vec::new();
                 for _ in 0..250 {
                     let mut client = Client::connect(node.address);
                     assert_eq!(client.send_and_receive(&request("page", 4000)).status(), 200);
-                    kept.push(client);
+                    open_clients.push(client);
                 }
             });
         }
@@ -162,20 +167,21 @@
 
 #[test]
 fn only_some_of_many_keep_alive_clients_are_kept() {
-    // Found on the same day: clients that ask once and stay held all the connections that clients may have.
+    // Guards against clients that send one request and then hold all connections that clients may have. The same replay
+    // of recorded traffic as above showed it.
     let record = RequestRecord::default();
     let addresses = start_endpoints(4, &record, |_, _| ok(b"x"));
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 256.into());
-    let ask_and_stay = |_| {
+    let send_and_stay_connected = |_| {
         let mut client = Client::connect(node.address);
-        let answer = client.send_and_receive(&request("page", 4000));
-        assert_eq!(answer.status(), 200);
-        (answer.header("connection") == Some("close"), client)
+        let response = client.send_and_receive(&request("page", 4000));
+        assert_eq!(response.status(), 200);
+        (response.header("connection") == Some("close"), client)
     };
-    let stayed: Vec<_> = (0..120).map(ask_and_stay).collect();
-    assert!(stayed[..20].iter().all(|(close, _)| !close), "a few are kept");
-    assert!(stayed[100..].iter().all(|(close, _)| *close), "a crowd is not");
+    let clients: Vec<_> = (0..120).map(send_and_stay_connected).collect();
+    assert!(clients[..20].iter().all(|(is_closed, _)| !is_closed), "a few connections must be kept open");
+    assert!(clients[100..].iter().all(|(is_closed, _)| *is_closed), "later connections must be closed");
 }
 
 #[test]
@@ -201,8 +207,8 @@
     });
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let mut node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 44.into());
-    // More busy clients than descriptors: the node has none left for their attempts.
-    // Under that pressure one that is slow to ask once it has connected is closed: that is no answer lost.
+    // The clients and their attempts need more descriptors than the node may have. It then closes clients that are slow
+    // to send their first request; these get no response, which is correct.
     let mut clients: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
     for client in &mut clients {
         client.send(&request("page", 3500));
@@ -224,29 +230,30 @@
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let mut node = Node::launch(discovery.address, |_| {}, "ulimit -n 16; exec \"$0\"");
     wait_for("/up is 200", || node.readiness_status() == 200);
-    // Half a request each, so that none of them is idle. The node closes such strangers for room and after some
-    // time, so more come for as long as it is to be at the limit; one closed for the next leaves it one below.
+    // Each client sends half a request, so that none of them is idle. The node closes such clients after some time, or
+    // to make room for others. So new ones must connect for as long as the node is to stay at its limit; it is one
+    // below while a client that was closed is not replaced yet.
     let mut held = Vec::new();
-    let mut press = || {
+    let mut connect_unfinished = || {
         let mut client = Client::try_connect(node.address);
         client.as_mut().map(|c| c.send(b"GET /api HT"));
         held.extend(client);
     };
-    (0..40).for_each(|_| press());
-    wait_for("the node is at the limit", || {
-        press();
+    (0..40).for_each(|_| connect_unfinished());
+    wait_for("the node is at its descriptor limit", || {
+        connect_unfinished();
         node.descriptor_count() >= 15
     });
     let before = node.cpu_ticks();
     for _ in 0..50 {
-        press();
+        connect_unfinished();
         thread::sleep(Duration::from_millis(10));
     }
     let used = node.cpu_ticks() - before;
-    assert!(used < 20, "{used} of 50 ticks used while nothing can be done");
+    assert!(used < 20, "{used} of 50 CPU ticks used at the descriptor limit");
     assert!(node.is_running());
     drop(held);
-    wait_for("it serves again", || {
+    wait_for("the node serves again", || {
         try_request(node.address, &request("page", 900)).is_some_and(|m| m.status() == 200)
     });
     node.terminate();
@@ -258,15 +265,15 @@
 
 #[test]
 fn a_wrong_setting_is_named_and_ends_the_start() {
-    let cases: [(&str, &str, Change); 5] = [
+    let cases: [(&str, &str, ConfigEdit); 5] = [
         ("listen", "\"nowhere\"", |c| c["listen"] = "nowhere".into()),
         ("peers[1]", "not a text: 7", |c| c["peers"] = serde_json::json!(["127.0.0.1:1", 7])),
         ("limits.sockets", "\"many\"", |c| c["limits"]["sockets"] = "many".into()),
         ("rules.coldMs", "\"long\"", |c| c["settings"]["rules"]["coldMs"] = "long".into()),
         ("classes", "", |c| c["settings"]["classes"] = serde_json::json!([])),
     ];
-    for (field, value, change) in cases {
-        let mut node = Node::launch(free_address(), change, "exec \"$0\"");
+    for (field, value, edit_config) in cases {
+        let mut node = Node::launch(free_address(), edit_config, "exec \"$0\"");
         assert!(!node.wait_for_exit().success(), "{field}");
         let log = node.log();
         assert!(log.contains(field), "{field} is not named: {log}");
@@ -274,21 +281,21 @@
     }
 }
 
-/// Clients that keep their connections idle, as many as find a place, and new ones for those that are closed.
-struct Idlers {
-    over: Arc<AtomicBool>,
-    filling: Option<thread::JoinHandle<()>>,
+/// Up to 300 idle client connections to a node; each one that the node closes is replaced. Dropping this ends them.
+struct IdleClients {
+    stop: Arc<AtomicBool>,
+    connector: Option<thread::JoinHandle<()>>,
 }
 
-impl Idlers {
-    fn fill(node: &Node) -> Idlers {
-        let over = Arc::new(AtomicBool::new(false));
-        let (address, own) = (node.address, over.clone());
-        let filling = thread::spawn(move || {
+impl IdleClients {
+    fn connect(node: &Node) -> IdleClients {
+        let stop = Arc::new(AtomicBool::new(false));
+        let (address, is_stopped) = (node.address, stop.clone());
+        let connector = thread::spawn(move || {
             let mut held = std::collections::VecDeque::new();
-            while !own.load(Ordering::SeqCst) {
+            while !is_stopped.load(Ordering::SeqCst) {
                 if let Some(mut client) = Client::try_connect(address) {
-                    // One that asks for something is a usual client.
+                    // The node keeps a client that has sent a request longer than one that has not.
                     client.send(b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n");
                     held.push_back(client);
                 }
@@ -298,56 +305,61 @@
                 thread::sleep(Duration::from_millis(2));
             }
         });
-        Idlers { over, filling: Some(filling) }
+        IdleClients { stop, connector: Some(connector) }
     }
 }
 
-impl Drop for Idlers {
+impl Drop for IdleClients {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
-        self.filling.take().map(thread::JoinHandle::join);
+        self.stop.store(true, Ordering::SeqCst);
+        self.connector.take().map(thread::JoinHandle::join);
     }
 }
 
 #[test]
 fn idle_clients_do_not_take_the_descriptors_of_discovery_admin_and_endpoints() {
-    // What the node is told, and a system that allows it less than that.
-    for (told, system) in [(64, 64), (1024, 40)] {
+    // The limit in the configuration, and the limit of the system, which is lower in the second case.
+    for (configured_limit, system_limit) in [(64, 64), (1024, 40)] {
         for mode in ["on_request", "pushed"] {
-            let (leaving, staying) = (RequestRecord::default(), RequestRecord::default());
+            let (draining, active) = (RequestRecord::default(), RequestRecord::default());
             let addresses =
-                [start_endpoint(&leaving, |_, _| ok(b"x")), start_endpoint(&staying, |_, _| ok(b"x"))];
-            let (place, console) = (free_address(), free_address());
+                [start_endpoint(&draining, |_, _| ok(b"x")), start_endpoint(&active, |_, _| ok(b"x"))];
+            let (discovery_address, console) = (free_address(), free_address());
             let known = serde_json::json!({"rev": 1, "all": true, "targets": all_up(&addresses)});
             let node = Node::launch(
-                place,
+                discovery_address,
                 |c| {
-                    c["limits"]["sockets"] = told.into();
+                    c["limits"]["sockets"] = configured_limit.into();
                     c["settings"]["membershipMode"] = mode.into();
                     c["console"] = console.to_string().into();
                     c["known"] = known;
                 },
-                &format!("ulimit -n {system}; exec \"$0\""),
+                &format!("ulimit -n {system_limit}; exec \"$0\""),
             );
             wait_for("/up is 200", || node.readiness_status() == 200);
-            // What it holds by itself, some of it inherited: that differs from one machine to the next.
-            let few = (0..100).map(|_| node.descriptor_count()).min().unwrap_or_default();
-            let idlers = Idlers::fill(&node);
-            // More find no place: that is the clients' part of the lower limit.
-            wait_for("idle clients hold the places", || node.descriptor_count() >= few + 6);
-            // Discovery comes back, and one of its endpoints drains.
+            // The node's own descriptors. Some are inherited, so their number differs between machines.
+            let without_clients = (0..100).map(|_| node.descriptor_count()).min().unwrap_or_default();
+            let idle_clients = IdleClients::connect(&node);
+            // At the lower limit clients may have no more than these 6 descriptors.
+            wait_for("idle clients hold all descriptors meant for clients", || {
+                node.descriptor_count() >= without_clients + 6
+            });
+            // The discovery service becomes reachable, and one of its endpoints is draining.
             let mut targets = all_up(&addresses);
             targets[0] = target("s-0", addresses[0], "draining");
-            let discovery = DiscoveryStub::start_at(place, targets.clone());
+            let discovery = DiscoveryStub::start_at(discovery_address, targets.clone());
             discovery.set(targets);
-            wait_until(Instant::now() + Duration::from_secs(6), "its list is asked for", || {
-                // The watch after the call that was answered.
+            wait_until(Instant::now() + Duration::from_secs(6), "the node has polled and watches", || {
+                // The second call is the watch that follows the answered poll.
                 discovery.call_count() >= 2
             });
-            assert_draining_endpoint_gets_no_requests(&node, &leaving, &staying);
-            assert!(node.admin_command("disable-server s-1").starts_with("done"), "{told} {system} {mode}");
+            assert_draining_endpoint_gets_no_requests(&node, &draining, &active);
+            assert!(
+                node.admin_command("disable-server s-1").starts_with("done"),
+                "{configured_limit} {system_limit} {mode}"
+            );
             assert_eq!(node.readiness_status(), 503);
-            drop(idlers);
+            drop(idle_clients);
         }
     }
 }
