--- a/tests/node_clock.rs
+++ b/tests/node_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock may be stepped, forward or back: a restarted server is cold for its time all the same.
+//! Steps of the wall clock, forward or back, neither skip, end nor prolong the slow start of a restarted endpoint.
 mod node;
 
 use node::faults::{FaultSetting, SyscallFaults};
@@ -6,102 +6,108 @@
 use serde_json::Value;
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// A large clock step, far longer than any slow start.
 const HOUR_MS: i64 = 3_600_000;
 
-fn wall_ms() -> i64 {
+/// The wall clock of the test, which the faults do not step.
+fn wall_clock_ms() -> i64 {
     i64::try_from(SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()).unwrap()
 }
 
-/// Three servers, of which discovery says when they started.
-struct Site {
+/// Three endpoints, and a discovery service that names their start times in `boot_ms`. Only the first one restarts.
+struct Fixture {
     records: Vec<RequestRecord>,
     targets: Vec<Value>,
     discovery: DiscoveryStub,
 }
 
-impl Site {
-    fn new(boot_ms: i64) -> Site {
+impl Fixture {
+    /// Starts the endpoints. `boot_ms` is the start time of the first one, by the wall clock.
+    fn new(boot_ms: i64) -> Fixture {
         let records: Vec<RequestRecord> = (0..3).map(|_| RequestRecord::default()).collect();
         let addresses: Vec<_> = records.iter().map(|r| start_endpoint(r, |_, _| ok(b"ok"))).collect();
         let mut targets = all_up(&addresses);
         targets[0]["boot_ms"] = boot_ms.into();
-        Site { records, discovery: DiscoveryStub::start(targets.clone()), targets }
+        Fixture { records, discovery: DiscoveryStub::start(targets.clone()), targets }
     }
 
-    /// The first server has restarted, as discovery has it.
-    fn restarted(&mut self, boot_ms: i64) {
+    /// Publishes a new start time of the first endpoint.
+    fn publish_restart(&mut self, boot_ms: i64) {
         self.targets[0]["boot_ms"] = boot_ms.into();
         self.discovery.set(self.targets.clone());
     }
 
-    /// How many of `count` requests the first server gets.
-    fn share(&self, node: &Node, count: usize) -> usize {
+    /// Sends `count` requests, and returns how many of them the first endpoint received.
+    fn first_endpoint_share(&self, node: &Node, count: usize) -> usize {
         let before = self.records[0].count();
         (0..count)
             .for_each(|_| assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200));
         self.records[0].count() - before
     }
 
-    /// Waits until the node has heard of the restart: the server gets next to nothing. A warm one gets a third.
-    fn becomes_cold(&self, node: &Node) {
-        wait_for("the restarted server is cold", || self.share(node, 60) <= 10);
-        let share = self.share(node, 200);
-        assert!(share <= 36, "{share} of 200 requests went to a cold server");
+    /// Waits until the node has the restart, and asserts that the first endpoint is in slow start: it receives few
+    /// requests, whereas a warm endpoint receives a third of them.
+    fn assert_slow_start(&self, node: &Node) {
+        wait_for("the restarted endpoint is in slow start", || self.first_endpoint_share(node, 60) <= 10);
+        let share = self.first_endpoint_share(node, 200);
+        assert!(share <= 36, "{share} of 200 requests went to an endpoint in slow start");
     }
 }
 
+/// After a step back, the new start time is earlier than the time at which the node first saw the endpoint, and after a
+/// large step even earlier than the previous start time. The node must not take it for the old start.
 #[test]
 fn a_restart_is_recognized_after_the_wall_clock_went_back() {
     for step in [HOUR_MS, 5_000] {
-        let before = wall_ms() - 60_000;
-        let mut site = Site::new(before);
+        let first_boot_ms = wall_clock_ms() - 60_000;
+        let mut fixture = Fixture::new(first_boot_ms);
         let faults = SyscallFaults::new(1);
-        let node = Node::start_with_faults(site.discovery.address, &faults, |_| {});
-        let share = site.share(&node, 90);
-        assert!(share >= 10, "{share} of 90 while it is warm");
+        let node = Node::start_with_faults(fixture.discovery.address, &faults, |_| {});
+        let share = fixture.first_endpoint_share(&node, 90);
+        assert!(share >= 10, "{share} of 90 requests went to the warm endpoint");
         faults.set(FaultSetting::WallOffsetMs, -step);
-        // By the stepped clock, and for an hour before the time of its last start.
-        site.restarted(wall_ms() - step);
-        site.becomes_cold(&node);
+        // By the stepped clock: after a step of an hour this is before the first start time.
+        fixture.publish_restart(wall_clock_ms() - step);
+        fixture.assert_slow_start(&node);
     }
 }
 
 #[test]
 fn slow_start_ends_in_time_after_the_wall_clock_jumped_forward() {
-    let mut site = Site::new(0);
+    let mut fixture = Fixture::new(0);
     let faults = SyscallFaults::new(2);
-    let node = Node::start_with_faults(site.discovery.address, &faults, |c| {
+    let node = Node::start_with_faults(fixture.discovery.address, &faults, |c| {
         c["settings"]["rules"]["coldMs"] = 1500.0.into();
         c["settings"]["rules"]["startCapacity"] = 0.01.into();
     });
     faults.set(FaultSetting::WallOffsetMs, HOUR_MS);
-    site.restarted(wall_ms() + HOUR_MS);
-    wait_for("it has warmed", || site.share(&node, 90) >= 20);
+    fixture.publish_restart(wall_clock_ms() + HOUR_MS);
+    wait_for("the slow start has ended", || fixture.first_endpoint_share(&node, 90) >= 20);
 }
 
 #[test]
 fn a_start_time_in_the_future_counts_as_now() {
-    let mut site = Site::new(0);
+    let mut fixture = Fixture::new(0);
     let faults = SyscallFaults::new(3);
-    let node = Node::start_with_faults(site.discovery.address, &faults, |c| {
+    let node = Node::start_with_faults(fixture.discovery.address, &faults, |c| {
         c["settings"]["rules"]["coldMs"] = 1500.0.into();
         c["settings"]["rules"]["startCapacity"] = 0.01.into();
     });
-    // Another machine's clock is ahead of this one's.
-    site.restarted(wall_ms() + HOUR_MS);
-    wait_for("it has warmed", || site.share(&node, 90) >= 20);
+    // The clock of the endpoint's machine is ahead of the node's.
+    fixture.publish_restart(wall_clock_ms() + HOUR_MS);
+    wait_for("the slow start has ended", || fixture.first_endpoint_share(&node, 90) >= 20);
 }
 
 #[test]
 fn a_wall_clock_jump_forward_ends_no_slow_start() {
-    let mut site = Site::new(0);
+    let mut fixture = Fixture::new(0);
     let faults = SyscallFaults::new(4);
-    let node = Node::start_with_faults(site.discovery.address, &faults, |_| {});
-    site.restarted(wall_ms());
-    site.becomes_cold(&node);
+    let node = Node::start_with_faults(fixture.discovery.address, &faults, |_| {});
+    fixture.publish_restart(wall_clock_ms());
+    fixture.assert_slow_start(&node);
     faults.set(FaultSetting::WallOffsetMs, HOUR_MS);
-    // Told once more, as it stands, along with something else.
-    site.targets[1]["capacity_hint"] = 1.01.into();
-    site.discovery.set(site.targets.clone());
-    site.becomes_cold(&node);
+    // The same start time arrives again, together with another change of the list.
+    fixture.targets[1]["capacity_hint"] = 1.01.into();
+    fixture.discovery.set(fixture.targets.clone());
+    fixture.assert_slow_start(&node);
 }
