--- a/tests/node_durable_overrides.rs
+++ b/tests/node_durable_overrides.rs
@@ -1,4 +1,5 @@
-//! A call of the operators that was answered `done` holds whatever becomes of the disk and of the process.
+//! Operator overrides (disabled and enabled endpoints) that were acknowledged with `done` survive disk errors, kills,
+//! and a handover to another process.
 mod node;
 
 use node::faults::{FaultSetting, SyscallFaults};
@@ -7,45 +8,45 @@
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 
-/// An empty folder for what one process leaves to the next.
-fn folder(name: &str) -> PathBuf {
-    let folder =
+/// Creates an empty directory for the state files that one process leaves for the next.
+fn create_state_dir(name: &str) -> PathBuf {
+    let state_dir =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("calls-{}-{name}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).unwrap();
-    folder
+    let _ = std::fs::remove_dir_all(&state_dir);
+    std::fs::create_dir_all(&state_dir).unwrap();
+    state_dir
 }
 
-/// Three servers, and a node behind an inherited socket that keeps its state in a folder.
-struct Site {
+/// Three endpoints, and what the processes of one node share: the listening socket and the directory of state files.
+struct Fixture {
     records: Vec<RequestRecord>,
     discovery: DiscoveryStub,
     socket: TcpListener,
-    folder: PathBuf,
+    state_dir: PathBuf,
 }
 
-impl Site {
-    fn new(name: &str) -> Site {
+impl Fixture {
+    fn new(name: &str) -> Fixture {
         let records: Vec<RequestRecord> = (0..3).map(|_| RequestRecord::default()).collect();
         let addresses: Vec<_> = records.iter().map(|r| start_endpoint(r, |_, _| ok(b"ok"))).collect();
-        Site {
+        Fixture {
             records,
             discovery: DiscoveryStub::start(all_up(&addresses)),
             socket: TcpListener::bind(free_address()).unwrap(),
-            folder: folder(name),
+            state_dir: create_state_dir(name),
         }
     }
 
-    /// A process whose console answers.
-    fn process(&self, faults: Option<&SyscallFaults>) -> Node {
-        let console = |c: &mut Value| c["console"] = free_address().to_string().into();
-        let set_up = |c: &mut std::process::Command| faults.into_iter().for_each(|f| f.preload(c));
+    /// Starts a process of the node, and waits until it is ready for admin commands and clients.
+    fn start_process(&self, faults: Option<&SyscallFaults>) -> Node {
+        let set_console = |c: &mut Value| c["console"] = free_address().to_string().into();
+        let set_up_command = |c: &mut std::process::Command| faults.into_iter().for_each(|f| f.preload(c));
         let node = Node::launch_inheriting_with(
             self.discovery.address,
             &self.socket,
-            &self.folder,
-            console,
-            set_up,
+            &self.state_dir,
+            set_console,
+            set_up_command,
         );
         wait_for("the process is ready", || {
             std::net::TcpStream::connect(node.admin_address()).is_ok()
@@ -54,15 +55,15 @@
         node
     }
 
-    /// How many of 60 requests each server gets.
-    fn shares(&self, node: &Node) -> Vec<usize> {
+    /// Sends 60 requests, and returns how many of them each endpoint received.
+    fn endpoint_shares(&self, node: &Node) -> Vec<usize> {
         let before: Vec<usize> = self.records.iter().map(RequestRecord::count).collect();
         (0..60).for_each(|_| assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200));
         self.records.iter().zip(before).map(|(r, before)| r.count() - before).collect()
     }
 
-    fn files(&self) -> Vec<String> {
-        let entries = std::fs::read_dir(&self.folder).unwrap();
+    fn file_names(&self) -> Vec<String> {
+        let entries = std::fs::read_dir(&self.state_dir).unwrap();
         entries.map(|entry| entry.unwrap().file_name().into_string().unwrap()).collect()
     }
 }
@@ -75,77 +76,86 @@
         FaultSetting::FailedSync,
         FaultSetting::FailedRename,
     ]) {
-        let site = Site::new(&format!("fails-{seed}"));
+        let fixture = Fixture::new(&format!("fails-{seed}"));
         let faults = SyscallFaults::new(seed);
-        let mut node = site.process(Some(&faults));
-        // Nothing can be kept: no `done`, and nothing has changed.
+        let mut node = fixture.start_process(Some(&faults));
+        // Every call fails, so the override cannot be stored: the answer is no `done`, and the override has no effect.
         faults.set(fault, 1);
         let answer = node.admin_command("disable-server s-2");
         assert!(answer.starts_with("error"), "{fault:?}: {answer}");
-        assert!(site.shares(&node)[2] > 0, "{fault:?}: an `error` changes nothing");
-        // Every other try fails: tried again within the time of the answer.
+        assert!(
+            fixture.endpoint_shares(&node)[2] > 0,
+            "{fault:?}: a rejected override must have no effect"
+        );
+        // One call in two fails: the node repeats the write before it answers.
         faults.set(fault, 2);
         let answer = node.admin_command("disable-server s-2");
         assert!(answer.starts_with("done"), "{fault:?}: {answer}");
         faults.set(fault, 1);
         assert!(node.admin_command("enable-server s-2").starts_with("error"), "{fault:?}");
         node.kill();
-        let next = site.process(None);
-        assert_eq!(site.shares(&next)[2], 0, "{fault:?}: out of service");
+        let next = fixture.start_process(None);
+        assert_eq!(fixture.endpoint_shares(&next)[2], 0, "{fault:?}: the endpoint must still be disabled");
     }
 }
 
 #[test]
 fn a_kill_during_a_write_leaves_the_last_overrides() {
-    let site = Site::new("kill");
+    let fixture = Fixture::new("kill");
     let faults = SyscallFaults::new(7);
-    let mut node = site.process(Some(&faults));
+    let mut node = fixture.start_process(Some(&faults));
     assert!(node.admin_command("disable-server s-1").starts_with("done"));
     faults.set(FaultSetting::KillDuringWrite, 1);
     let _ = std::panic::catch_unwind(|| node.admin_command("disable-server s-2"));
-    wait_for("it is killed", || !node.is_running());
-    // A file that was written in place would be cut like this.
-    let next = site.process(None);
-    assert_eq!(site.shares(&next)[1], 0, "out of service");
+    wait_for("the process is killed", || !node.is_running());
+    // A file that is written in place, and not replaced by a rename, would be truncated now.
+    let next = fixture.start_process(None);
+    assert_eq!(fixture.endpoint_shares(&next)[1], 0, "the endpoint must still be disabled");
     assert!(next.admin_command("disable-server s-0").starts_with("done"));
     drop(next);
-    for file in site.files().iter().filter(|name| !name.contains("last")) {
-        let path = site.folder.join(file);
+    // Truncates the current files, and keeps the copies of the previous ones (`*.last`).
+    for file in fixture.file_names().iter().filter(|name| !name.contains("last")) {
+        let path = fixture.state_dir.join(file);
         let text = std::fs::read(&path).unwrap();
         std::fs::write(&path, &text[..text.len() / 2]).unwrap();
     }
-    let next = site.process(None);
-    assert_eq!(site.shares(&next)[..2], [0, 0], "still out of service: a whole copy counts");
-    let leftovers: Vec<String> = site.files().into_iter().filter(|name| name.contains("draft")).collect();
+    let next = fixture.start_process(None);
+    assert_eq!(
+        fixture.endpoint_shares(&next)[..2],
+        [0, 0],
+        "both endpoints must still be disabled, by the intact copy"
+    );
+    let leftovers: Vec<String> =
+        fixture.file_names().into_iter().filter(|name| name.contains("draft")).collect();
     assert!(leftovers.is_empty(), "{leftovers:?}");
 }
 
 #[test]
 fn the_first_override_survives_a_truncated_file() {
-    let site = Site::new("first");
-    let mut node = site.process(None);
+    let fixture = Fixture::new("first");
+    let mut node = fixture.start_process(None);
     assert!(node.admin_command("disable-server s-1").starts_with("done"));
     node.kill();
-    let path = site.folder.join("node-calls.json");
+    let path = fixture.state_dir.join("node-calls.json");
     let text = std::fs::read(&path).unwrap();
     std::fs::write(&path, &text[..text.len() / 2]).unwrap();
-    let next = site.process(None);
-    assert_eq!(site.shares(&next)[1], 0, "still out of service");
+    let next = fixture.start_process(None);
+    assert_eq!(fixture.endpoint_shares(&next)[1], 0, "the endpoint must still be disabled");
 }
 
 #[test]
 fn overrides_by_two_processes_at_once_both_hold() {
-    let site = Site::new("both");
+    let fixture = Fixture::new("both");
     let faults = SyscallFaults::new(8);
-    let old = site.process(Some(&faults));
-    let new = site.process(None);
-    // The old process is held up between reading the state and replacing it.
+    let old = fixture.start_process(Some(&faults));
+    let new = fixture.start_process(None);
+    // The old process is delayed between reading the file and replacing it, so that the new one may write in between.
     faults.set(FaultSetting::DelayMs, 50);
     faults.set(FaultSetting::DelayedRename, 1);
     std::thread::scope(|scope| {
         let first = scope.spawn(|| old.admin_command("disable-server s-0"));
         wait_for("the old process is about to replace the file", || {
-            site.files().iter().any(|name| name.contains(&old.pid().to_string()))
+            fixture.file_names().iter().any(|name| name.contains(&old.pid().to_string()))
         });
         let second = new.admin_command("disable-server s-1");
         let first = first.join().unwrap();
@@ -154,28 +164,28 @@
     faults.set(FaultSetting::DelayedRename, 0);
     drop(old);
     drop(new);
-    let next = site.process(None);
-    assert_eq!(site.shares(&next)[..2], [0, 0], "both are out of service");
+    let next = fixture.start_process(None);
+    assert_eq!(fixture.endpoint_shares(&next)[..2], [0, 0], "both endpoints must be disabled");
 }
 
 #[test]
 fn a_reused_process_id_is_not_taken_for_the_other_process() {
-    let site = Site::new("number");
-    let mut node = site.process(None);
+    let fixture = Fixture::new("number");
+    let mut node = fixture.start_process(None);
     assert!(node.admin_command("disable-server s-1").starts_with("done"));
     node.kill();
-    // Its number belongs to a process that has nothing to do with this, and started long before.
-    for file in site.files() {
-        let path = site.folder.join(file);
+    // The process id in the files now belongs to an unrelated process, which started long before.
+    for file in fixture.file_names() {
+        let path = fixture.state_dir.join(file);
         let text = std::fs::read_to_string(&path).unwrap();
-        let given_again = text.replace(
+        let with_reused_pid = text.replace(
             &format!("\"pid\":{}", node.pid()),
             &format!("\"pid\":{}", std::os::unix::process::parent_id()),
         );
-        state::write_updating_checksum(&path, &given_again);
+        state::write_updating_checksum(&path, &with_reused_pid);
     }
-    let mut next = site.process(None);
-    assert_eq!(site.shares(&next)[1], 0, "the state counts all the same");
+    let mut next = fixture.start_process(None);
+    assert_eq!(fixture.endpoint_shares(&next)[1], 0, "the endpoint must still be disabled");
     next.terminate();
     assert!(next.wait_for_exit().success());
     let log = next.log();
@@ -184,13 +194,13 @@
 
 #[test]
 fn an_enabled_endpoint_starts_slowly_for_the_next_process_too() {
-    let site = Site::new("cold");
-    let mut node = site.process(None);
+    let fixture = Fixture::new("cold");
+    let mut node = fixture.start_process(None);
     assert!(node.admin_command("disable-server s-1").starts_with("done"));
-    // It is restarted meanwhile, and discovery is late to say so.
+    // The endpoint has restarted in the meantime, and discovery does not know yet; so the node must assume a restart.
     assert!(node.admin_command("enable-server s-1").starts_with("done in service again, cold"));
     node.kill();
-    let next = site.process(None);
-    let share = site.shares(&next)[1];
-    assert!(share <= 10, "{share} of 60 requests went to a cold server");
+    let next = fixture.start_process(None);
+    let share = fixture.endpoint_shares(&next)[1];
+    assert!(share <= 10, "{share} of 60 requests went to an endpoint in slow start");
 }
