--- a/tests/node/discovery_stub.rs
+++ b/tests/node/discovery_stub.rs
@@ -24,7 +24,7 @@
     /// Ignored calls whose connection the caller has not closed yet.
     open_ignored_calls: usize,
     /// Delays the response to every call until this is unset.
-    holds_answers: bool,
+    holds_responses: bool,
     /// Delays the response to every watch until this is unset, and answers polls.
     holds_watches: bool,
     /// Answers watches at once, with or without a change.
@@ -41,7 +41,7 @@
     /// Whether a call for the changes after version `after` must wait: a watch until there is a change, or until `end`;
     /// a held call for as long as it is held.
     fn must_wait(&self, after: u64, is_watch: bool, end: Instant) -> bool {
-        let is_held = self.holds_answers || (self.holds_watches && is_watch);
+        let is_held = self.holds_responses || (self.holds_watches && is_watch);
         let awaits_change = !self.answers_immediately && self.version <= after && Instant::now() < end;
         is_held || awaits_change
     }
@@ -155,8 +155,8 @@
     }
 
     /// Sets whether responses are delayed until this is called with `false`.
-    pub fn hold_answers(&self, hold: bool) {
-        self.state.0.lock().unwrap().holds_answers = hold;
+    pub fn hold_responses(&self, hold: bool) {
+        self.state.0.lock().unwrap().holds_responses = hold;
         self.state.1.notify_all();
     }
 
@@ -165,10 +165,10 @@
         self.state.0.lock().unwrap().calls_to_reject = calls;
     }
 
-    /// Answers the next `calls` polls with 503 and holds the responses to watches; ends `hold_answers`.
+    /// Answers the next `calls` polls with 503 and holds the responses to watches; ends `hold_responses`.
     pub fn hold_watches_and_reject_polls(&self, calls: u32) {
         let mut state = self.state.0.lock().unwrap();
-        (state.holds_answers, state.holds_watches, state.calls_to_reject) = (false, true, calls);
+        (state.holds_responses, state.holds_watches, state.calls_to_reject) = (false, true, calls);
         self.state.1.notify_all();
     }
 
--- a/tests/node/faults.rs
+++ b/tests/node/faults.rs
@@ -72,8 +72,8 @@
         faults
     }
 
-    /// Sets one number of the control file. It takes effect at once, except for `Seed`, which is read when the library is
-    /// loaded.
+    /// Sets one number of the control file. It takes effect at once, except for `Seed`, which is read when the library
+    /// is loaded.
     pub fn set(&self, setting: FaultSetting, value: i64) {
         self.file.write_all_at(&value.to_ne_bytes(), setting as u64 * 8).unwrap();
     }
--- a/tests/node_clients.rs
+++ b/tests/node_clients.rs
@@ -148,7 +148,7 @@
     let addresses = start_endpoints(4, &record, |_, _| ok(b"x"));
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["sockets"] = 128.into());
-    let begun = Instant::now();
+    let start = Instant::now();
     thread::scope(|scope| {
         for _ in 0..8 {
             scope.spawn(|| {
@@ -162,7 +162,7 @@
         }
     });
     assert_eq!(record.count(), 2000);
-    assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", begun.elapsed());
+    assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
 }
 
 #[test]
@@ -184,6 +184,7 @@
     assert!(clients[100..].iter().all(|(is_closed, _)| *is_closed), "later connections must be closed");
 }
 
+/// Clients that send a part of a request head and no more must not hold all descriptors meant for clients.
 #[test]
 fn unfinished_requests_do_not_lock_other_clients_out() {
     let record = RequestRecord::default();
--- a/tests/node_clock.rs
+++ b/tests/node_clock.rs
@@ -1,4 +1,4 @@
-//! Steps of the wall clock, forward or back, neither skip, end nor prolong the slow start of a restarted endpoint.
+//! Steps of the wall clock, forward or back, neither skip nor end nor prolong the slow start of a restarted endpoint.
 mod node;
 
 use node::faults::{FaultSetting, SyscallFaults};
@@ -72,6 +72,7 @@
     }
 }
 
+/// By the wall clock at the start of the node, the new start time is an hour ahead. This must not prolong the slow start.
 #[test]
 fn slow_start_ends_in_time_after_the_wall_clock_jumped_forward() {
     let mut fixture = Fixture::new(0);
@@ -98,6 +99,7 @@
     wait_for("the slow start has ended", || fixture.first_endpoint_share(&node, 90) >= 20);
 }
 
+/// By the stepped wall clock the endpoint started an hour ago, longer than a slow start takes.
 #[test]
 fn a_wall_clock_jump_forward_ends_no_slow_start() {
     let mut fixture = Fixture::new(0);
--- a/tests/node_discovery_faults.rs
+++ b/tests/node_discovery_faults.rs
@@ -14,7 +14,7 @@
     let discovery = DiscoveryStub::start(vec![target("s-0", addresses[0], "up")]);
     let node = Node::start(discovery.address, |_| {});
     wait_for("the node watches", || discovery.call_count() >= 2);
-    discovery.hold_answers(true);
+    discovery.hold_responses(true);
     let calls = discovery.call_count();
     wait_for("the unanswered call is repeated", || discovery.call_count() > calls + 1);
     assert_eq!(
@@ -23,7 +23,7 @@
         "the node must serve by its old list in the meantime"
     );
     discovery.set(vec![target("s-0", addresses[0], "draining")]);
-    discovery.hold_answers(false);
+    discovery.hold_responses(false);
     wait_for("the node has received the change", || node.readiness_status() == 503);
 }
 
@@ -44,7 +44,7 @@
     let node = Node::start(discovery.address, |c| c["settings"]["membershipMode"] = mode.into());
     wait_for("the node watches", || discovery.call_count() >= 2);
     let watch_start = Instant::now();
-    discovery.hold_answers(true);
+    discovery.hold_responses(true);
     let wait_ms = discovery.call_lines()[1]
         .split_once("wait_ms=")
         .map(|(_, rest)| rest.split(' ').next().and_then(|ms| ms.parse().ok()).unwrap());
@@ -52,7 +52,7 @@
     targets[0] = target("s-0", addresses[0], "draining");
     discovery.set(targets);
     wait_until(known_by, "the calls are repeated", || discovery.call_count() >= 3 + silent_repeats);
-    discovery.hold_answers(false);
+    discovery.hold_responses(false);
     // The node makes the next call when it has the change.
     wait_until(known_by, "the change is known", || discovery.call_count() >= 4 + silent_repeats);
     let before = draining.count();
@@ -112,7 +112,7 @@
 fn a_failed_check_during_a_silent_watch_is_repeated_in_time() {
     let PollingFixture { discovery, drained_list, node, records: [draining, active] } =
         poll_two_endpoints();
-    discovery.hold_answers(true);
+    discovery.hold_responses(true);
     wait_until(Instant::now() + 3 * WAIT_TIMEOUT, "the node polls during the watch", || {
         discovery.call_count() >= 3
     });
@@ -183,6 +183,7 @@
     assert_draining_endpoint_gets_no_requests(&node, &draining, &active);
 }
 
+/// Guards against a busy loop of calls to a discovery service that answers watches at once.
 #[test]
 fn a_watch_that_does_not_wait_is_paced() {
     let record = RequestRecord::default();
--- a/tests/node_discovery_list.rs
+++ b/tests/node_discovery_list.rs
@@ -20,6 +20,7 @@
     }
 }
 
+/// A node that skips malformed entries completely would go on sending requests to an endpoint that drains or has gone.
 #[test]
 fn an_endpoint_that_leaves_gets_nothing_even_if_its_entry_is_malformed() {
     let malformed_entries = [
@@ -60,6 +61,8 @@
     );
 }
 
+/// A discovery service may count its versions from 1 again after a restart. A node that only asks for versions after
+/// its own would then get no change any more.
 #[test]
 fn a_list_with_a_later_version_than_discovery_has_is_replaced() {
     let record = RequestRecord::default();
--- a/tests/node_discovery_start.rs
+++ b/tests/node_discovery_start.rs
@@ -49,7 +49,7 @@
     let record = RequestRecord::default();
     let discovery = DiscoveryStub::start(all_up(&start_endpoints(1, &record, |_, _| ok(b"x"))));
     discovery.reject_calls(4);
-    discovery.hold_answers(true);
+    discovery.hold_responses(true);
     let start = Instant::now();
     let edit_config = |c: &mut Value| {
         c["settings"]["membershipMode"] = "on_request".into();
@@ -57,7 +57,7 @@
     };
     let node = Node::launch(discovery.address, edit_config, "exec \"$0\"");
     wait_for("the unanswered call is repeated", || discovery.call_count() >= 2);
-    discovery.hold_answers(false);
+    discovery.hold_responses(false);
     wait_until(start + Duration::from_secs(10), "/up is 200", || node.readiness_status() == 200);
 }
 
@@ -73,7 +73,7 @@
         // The endpoint began to drain while no process of this node was running.
         targets[0] = target("s-0", addresses[0], "draining");
         discovery.set(targets);
-        discovery.hold_answers(true);
+        discovery.hold_responses(true);
         let node = Node::launch(
             discovery.address,
             |c| {
@@ -84,7 +84,7 @@
         );
         wait_for("the node has called discovery", || discovery.call_count() > 0);
         assert_eq!(node.readiness_status(), 503, "{mode}: ready with a list of unknown age");
-        discovery.hold_answers(false);
+        discovery.hold_responses(false);
         wait_for("/up is 200", || node.readiness_status() == 200);
         assert_draining_endpoint_gets_no_requests(&node, &draining, &active);
     }
@@ -126,7 +126,7 @@
     let record = RequestRecord::default();
     let addresses = start_endpoints(1, &record, |_, _| ok(b"x"));
     let discovery = DiscoveryStub::start(all_up(&addresses));
-    discovery.hold_answers(true);
+    discovery.hold_responses(true);
     let known = json!({"rev": 1, "all": true, "targets": all_up(&addresses)});
     let start = Instant::now();
     let edit_config = |c: &mut Value| {
@@ -159,7 +159,7 @@
 fn a_silent_call_for_the_full_list_is_repeated_in_time() {
     let record = RequestRecord::default();
     let discovery = DiscoveryStub::start(all_up(&start_endpoints(1, &record, |_, _| ok(b"x"))));
-    discovery.hold_answers(true);
+    discovery.hold_responses(true);
     let node = Node::launch(
         discovery.address,
         |c| {
@@ -173,6 +173,6 @@
     wait_until(Instant::now() + Duration::from_secs(6), "the node asks again", || {
         discovery.call_count() >= 2
     });
-    discovery.hold_answers(false);
+    discovery.hold_responses(false);
     wait_for("the node has the list", || node.readiness_status() == 200);
 }
--- a/tests/node_durable_overrides.rs
+++ b/tests/node_durable_overrides.rs
@@ -130,6 +130,7 @@
     assert!(leftovers.is_empty(), "{leftovers:?}");
 }
 
+/// After the first override there is no earlier version of the file, so the first write must already leave a copy.
 #[test]
 fn the_first_override_survives_a_truncated_file() {
     let fixture = Fixture::new("first");
--- a/tests/node_endpoint_faults.rs
+++ b/tests/node_endpoint_faults.rs
@@ -78,6 +78,8 @@
     assert_eq!(record.count(), 42, "the page request must be repeated");
 }
 
+/// The endpoints reject all bids. If these rejections counted against the endpoints as a whole, pages would not be sent
+/// either.
 #[test]
 fn a_class_that_is_rejected_leaves_endpoints_to_the_other() {
     let record = RequestRecord::default();
@@ -98,6 +100,8 @@
     assert!(count_served(&pages) >= 23, "{pages:?}");
 }
 
+/// Bids hang at two of five endpoints. They must go to the other three, although the two endpoints serve many pages and
+/// so look healthy.
 #[test]
 fn a_class_that_hangs_at_some_endpoints_is_sent_to_the_others() {
     let record = RequestRecord::default();
@@ -114,7 +118,7 @@
     let (mut bids, mut pages) = (Vec::new(), Vec::new());
     for _ in 0..60 {
         bids.extend(send_concurrently(&node, "bid", 900, 4, 4));
-        // So many successful requests that the two endpoints as a whole are not held congested.
+        // So many that the two endpoints as a whole are not held congested.
         pages.extend(send_concurrently(&node, "page", 4000, 24, 4));
     }
     assert!(count_served(&bids) >= 170, "{} of 240 bids", count_served(&bids));
