--- a/tests/node_clock.rs
+++ b/tests/node_clock.rs
@@ -72,7 +72,8 @@
     }
 }
 
-/// By the wall clock at the start of the node, the new start time is an hour ahead. This must not prolong the slow start.
+/// By the wall clock at the start of the node, the new start time is an hour ahead, which must not prolong the slow
+/// start.
 #[test]
 fn slow_start_ends_in_time_after_the_wall_clock_jumped_forward() {
     let mut fixture = Fixture::new(0);
