--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -12,7 +12,7 @@
 //! Only polled discovery pauses: each call costs the one service of all nodes, so the decisions pace them
 //! after a failure.
 
-use super::client::{Call, CallOutcome, DiscoveryClient, DiscoveryError};
+use super::client::{CallKind, CallOutcome, DiscoveryClient, DiscoveryError};
 use super::endpoint_list::EndpointList;
 use crate::driver::{Driver, DriverEvent};
 use crate::observability::log;
@@ -148,8 +148,8 @@
                     }
                     continue;
                 }
-                WatchState::CatchingUp => Call::CatchUp,
-                WatchState::Watching => Call::Watch { check_interval: self.check_interval() },
+                WatchState::CatchingUp => CallKind::CatchUp,
+                WatchState::Watching => CallKind::Watch { check_interval: self.check_interval() },
             };
             let begun_at = Instant::now();
             let mut addresses = self.addresses.clone();
@@ -258,7 +258,10 @@
         self.client.disconnect();
         self.state = WatchState::CatchingUp;
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        if begun_at.elapsed() < DOWN_WITHIN && !error.is_silence() && !error.is_local() {
+        if begun_at.elapsed() < DOWN_WITHIN
+            && !error.is_timeout_or_invalid_response()
+            && !error.is_local_failure()
+        {
             driver.mark_list_current();
         }
         if self.consecutive_failures.is_power_of_two() {
@@ -280,7 +283,7 @@
             // The agent that answers next may count versions anew, and its full list costs nothing.
             self.version = None;
             Retry::After(RETRY_PAUSE)
-        } else if error.is_silence() && !self.has_repeated_silent_call {
+        } else if error.is_timeout_or_invalid_response() && !self.has_repeated_silent_call {
             // A change that the call would have brought counts as known soon, and silence is no sign of
             // overload: an overloaded service refuses.
             Retry::Immediately
