--- a/src/node/discovery/endpoint_list.rs
+++ b/src/node/discovery/endpoint_list.rs
@@ -1,4 +1,9 @@
-//! A list of endpoints in discovery's form.
+//! Parses endpoint lists in the JSON format of discovery.
+//!
+//! A list has a version (`rev`), a flag for a full list (`all`) and its entries (`targets`). A list that is
+//! not full has only the endpoints that have changed. One invalid entry must not hide the valid ones, so the
+//! parser skips it. An endpoint that leaves service must not stay in use because of an invalid field, so its
+//! entry needs only a name and a state.
 
 use crate::driver::DiscoveredEndpoint;
 use crate::observability::log;
@@ -10,25 +15,25 @@
 use wheelpath::settings_file::NameIndex;
 use wheelpath::stable_hash::stable_hash;
 
-/// An entry of the list that cannot be read: the field that is wrong.
+/// Why an entry of the list is invalid: the name of the field that is missing or has an invalid value.
 #[derive(Debug, Error)]
-#[error("bad {0}")]
+#[error("field {0} is missing or invalid")]
 struct EntryError(&'static str);
 
-/// An answer of discovery, or the list that a node starts with.
+/// An endpoint list, from a response of discovery or from the configuration that the node starts with.
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list. It increases with each change, until discovery restarts its version numbers.
     pub version: u64,
-    /// It has all endpoints, not only those that changed.
+    /// Whether the list has all endpoints, not only those that have changed.
     pub is_complete: bool,
-    /// Its entries, without those that could not be read.
+    /// The valid entries.
     pub endpoints: Vec<DiscoveredEndpoint>,
-    has_bad_entries: bool,
+    has_invalid_entries: bool,
 }
 
 impl EndpointList {
-    /// Reads a list. Entries that cannot be read are logged and skipped: one of them must not hide the
-    /// rest. None where this is no list, or no entry can be read.
+    /// Parses a list. Logs and skips invalid entries. Returns `None` if `json` is not a list, or if it has
+    /// entries and none of them is valid.
     pub fn parse(json: &Value, names: &NameIndex) -> Option<EndpointList> {
         let version = json.get("rev")?.as_u64()?;
         let is_complete = json.get("all").and_then(Value::as_bool).unwrap_or(false);
@@ -39,46 +44,47 @@
                 Ok(endpoint) => endpoints.push(endpoint),
                 Err(error) => {
                     let entry = entry.to_string();
-                    log::line(&format!("discovery: entry skipped, {error}: {entry:.200}"));
+                    log::line(&format!("discovery: skipped an invalid entry: {error}: {entry:.200}"));
                 }
             }
         }
-        let has_bad_entries = endpoints.len() < entries.len();
-        let is_list = entries.is_empty() || !endpoints.is_empty();
-        is_list.then_some(EndpointList { version, is_complete, endpoints, has_bad_entries })
+        let has_invalid_entries = endpoints.len() < entries.len();
+        let is_usable = entries.is_empty() || !endpoints.is_empty();
+        is_usable.then_some(EndpointList { version, is_complete, endpoints, has_invalid_entries })
     }
 
-    /// The version after which changes alone tell the rest: none where this is not a full list, read
-    /// without errors.
+    /// Returns the version of the list if the node needs only the changes after it. Returns `None` if it has
+    /// to request the full list, because this one is partial or empty, or has invalid entries.
     pub fn base_version(&self) -> Option<u64> {
-        let is_base = self.is_complete && !self.has_bad_entries && !self.endpoints.is_empty();
+        let is_base = self.is_complete && !self.has_invalid_entries && !self.endpoints.is_empty();
         is_base.then_some(self.version)
     }
 
-    /// Whether it has anything beyond a known version.
+    /// Returns `true` if the list has another version than `known_version`, is a full list, or has entries.
     pub fn has_news(&self, known_version: u64) -> bool {
         self.version != known_version || self.is_complete || !self.endpoints.is_empty()
     }
 
-    /// The kind of update that it is to the decisions.
-    pub fn update(&self) -> WatchUpdate {
+    /// Returns the kind of update that the list is for the balancer.
+    pub fn update_kind(&self) -> WatchUpdate {
         if self.is_complete { WatchUpdate::Snapshot } else { WatchUpdate::Delta }
     }
 
-    /// Logs what it brought, if anything; `age` is the time since the call.
-    pub fn log(&self, age: Duration) {
+    /// Logs the version and the number of entries by state, unless the list is empty. `elapsed` is the time
+    /// since the call that returned the list began.
+    pub fn log(&self, elapsed: Duration) {
         if self.endpoints.is_empty() {
             return;
         }
         let count = |state| self.endpoints.iter().filter(|e| e.update.state == state).count();
-        let what = if self.is_complete { "whole list" } else { "changes" };
+        let kind = if self.is_complete { "full list" } else { "changes" };
         log::line(&format!(
-            "discovery: {what}, version {}: {} up, {} draining, {} gone, {:.1} s after the call",
+            "discovery: {kind}, version {}: {} up, {} draining, {} removed, {:.1} s after the call",
             self.version,
             count(EndpointState::Active),
             count(EndpointState::Draining),
             count(EndpointState::Removed),
-            age.as_secs_f64()
+            elapsed.as_secs_f64()
         ));
     }
 }
@@ -90,8 +96,8 @@
     let state = parse_state(text("state"))?;
     let address = text("endpoint").and_then(|text| text.parse::<SocketAddr>().ok());
     if state != EndpointState::Active {
-        // Of an endpoint that leaves nothing else matters: whatever cannot be read must not keep it in
-        // service.
+        // The other fields of an endpoint that leaves service have no effect, and an invalid one must not
+        // keep the endpoint in service.
         let update = EndpointUpdate { endpoint, zone: 0, cell: 0, state, weight: 1.0, started_at_ms: 0.0 };
         return Ok(DiscoveredEndpoint { update, boot_ms: 0.0, address });
     }
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -1,11 +1,13 @@
-//! The endpoint list: the first one from the configuration, then a watch on discovery.
+//! Keeps the endpoint list up to date: it starts with the list of the configuration, then watches discovery.
 //!
-//! Where lists are pushed, an agent nearby has them and costs nothing to ask. Where they are polled, one
-//! service has the list for all nodes; each call costs it something, and calls are queued there. In both
-//! modes a call asks what changed after a version, and may wait for an update. A call that falls silent
-//! cannot be told from one without an update, so the watch makes another in parallel.
+//! Discovery has two modes. In push mode, an agent near the node has the list, and calls to it cost nothing.
+//! In poll mode, one service has the list for all nodes; it queues calls, and each call adds to its load. In
+//! both modes a call requests the changes after a version, and may wait for an update.
 //!
-//! [`endpoint_list`] reads lists, [`client`] makes calls, [`watch`] decides which call comes next.
+//! The node cannot tell a call that will never get a response from one without an update, so it makes
+//! further calls in parallel.
+//!
+//! [`endpoint_list`] parses lists, [`client`] makes calls, and [`watch`] decides which call comes next.
 
 mod client;
 mod endpoint_list;
--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -243,7 +243,7 @@
         self.shared_version.set(self.version);
         if !versions_restarted {
             list.log(begun_at.elapsed());
-            report(driver, list.update(), Some(list));
+            report(driver, list.update_kind(), Some(list));
             driver.mark_list_current();
         }
         if versions_restarted || did_not_wait {
