--- a/src/node/discovery/client.rs
+++ b/src/node/discovery/client.rs
@@ -47,7 +47,7 @@
 /// Time after the wait at which a call to an agent that has not responded is first repeated in parallel. An
 /// agent may never respond to calls that it received while it was unresponsive.
 const PUSH_REPEAT_AFTER: Duration = Duration::from_millis(100);
-/// Time between two such repeats in push mode.
+/// Time between two repeats of a call to an agent that has not responded.
 const PUSH_REPEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// Number of checks that are made in parallel to a watch without updates, before the watch is renewed.
 const CHECKS_PER_WATCH: u32 = 2;
--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -1,16 +1,17 @@
-//! The watch on discovery: which call comes next, and what an answer or a failure means.
+//! Decides which call to discovery comes next, and handles its response or failure.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | any | a new configuration names another address | `CatchingUp` |
-//! | `Paused` | the decisions ask to watch | `CatchingUp` |
-//! | `CatchingUp` | an answer | `Watching` |
-//! | `Watching` | an answer, or the watch expires | `Watching` |
-//! | `CatchingUp`, `Watching` | a failure that is repeated here | `CatchingUp` |
-//! | `CatchingUp`, `Watching` | a failure whose repetition the decisions pace | `Paused` |
+//! | any | a reloaded configuration has another address | `CatchingUp` |
+//! | any | the balancer stops the watch | `Paused` |
+//! | `Paused` | the balancer starts the watch | `CatchingUp` |
+//! | `CatchingUp` | a response | `Watching` |
+//! | `Watching` | a response, or the watch expires | `Watching` |
+//! | `CatchingUp`, `Watching` | a failed call that this module repeats | `CatchingUp` |
+//! | `CatchingUp`, `Watching` | a failed call that the balancer schedules again | `Paused` |
 //!
-//! Only polled discovery pauses: each call costs the one service of all nodes, so the decisions pace them
-//! after a failure.
+//! Only poll mode pauses. There, all nodes call one service, and their calls must not overload it after an
+//! outage. So the balancer schedules the calls that follow a failure.
 
 use super::client::{CallKind, CallOutcome, DiscoveryClient, DiscoveryError};
 use super::endpoint_list::EndpointList;
@@ -26,38 +27,42 @@
 use wheelpath::policy::{DiscoveryMode, WatchUpdate};
 use wheelpath::settings_file::NameIndex;
 
-/// Time between two calls in parallel to a watch without updates, at most. Even if a call is silent at each
-/// check, the next one is answered before a change counts as known; and the service gets about as many
-/// calls as from watches of this length.
+/// Longest time between two checks, which are calls in parallel to a watch without updates. Even if one call
+/// at each check gets no response, the next one gets its response before the node is expected to know a
+/// change. The number of calls to the service is about that of watches of this length.
 const CHECK_INTERVAL: Duration = Duration::from_secs(18);
-/// Random part of that interval, so that nodes which got the same update do not all call at the same moment
-/// later.
+/// Part of [`CHECK_INTERVAL`] that is random. Nodes that received the same update at the same time then do
+/// not make their next checks at the same time.
 const CHECK_JITTER: f64 = 0.25;
-/// A change counts as known this long after a new configuration, whether or not the node has it.
-const MOVE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Until then a failed call is repeated after a pause of this at most, whatever the decisions' pace.
-const MOVE_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// A process that starts is ready once discovery has answered, because changes made while it was down may
-/// count at once. With polled discovery that takes the spread of the first calls and a wait in the queue;
-/// an agent is near. After this time the process is ready without an answer, so that an outage of discovery
-/// does not become an outage of the nodes.
+/// Time after a change of the address within which the node is expected to know the list of the new address.
+const ADDRESS_CHANGE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Longest pause before a failed call is repeated during [`ADDRESS_CHANGE_TIMEOUT`], which is too short for
+/// the pauses that the balancer schedules.
+const ADDRESS_CHANGE_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Time after which a starting process is ready in poll mode even if discovery has not responded. A process
+/// waits for the first response because it may be expected to know at once the changes made while it was
+/// down. The time covers the random delay of the first call and the wait in the service's queue. The wait is
+/// limited so that an outage of discovery does not cause an outage of the nodes.
 const POLL_START_TIMEOUT: Duration = Duration::from_millis(4_500);
+/// Time after which a starting process is ready in push mode even if discovery has not responded. It is
+/// shorter than [`POLL_START_TIMEOUT`] because the agent is near the node and has no queue.
 const PUSH_START_TIMEOUT: Duration = Duration::from_secs(1);
-/// A call that fails within this time was not queued: discovery is down, and no newer list can be had.
-const DOWN_WITHIN: Duration = Duration::from_secs(1);
-/// Pause after a failed call that the decisions do not pace. The protocol wants a watch to go on within 200
-/// ms.
+/// A call that fails within this time was not queued at the service: discovery is down and cannot send a
+/// newer list.
+const IMMEDIATE_FAILURE_TIME: Duration = Duration::from_secs(1);
+/// Pause before this module repeats a failed call. The protocol requires that a watch continues within
+/// 200 ms.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// A watch that ends within this time without an update did not wait.
-const HASTY_WATCH: Duration = Duration::from_millis(50);
+/// If a watch ends without an update within this time, discovery did not wait for one.
+const MIN_WATCH_TIME: Duration = Duration::from_millis(50);
 
-/// What the watch does next.
+/// The state of the watch, which determines the next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchState {
-    /// Waits until the decisions ask for a call.
+    /// Makes no call until the balancer starts the watch.
     Paused,
-    /// Asks what has changed by now, without waiting for an update: at the start, after a failure, and
-    /// after a new configuration.
+    /// Requests the changes up to now, without waiting for an update: after the start, a failed call or a
+    /// change of the address.
     CatchingUp,
     /// Waits for the next update.
     Watching,
@@ -68,34 +73,34 @@
 enum Retry {
     Immediately,
     After(Duration),
-    /// When the decisions ask for it.
+    /// When the balancer starts the watch again.
     WhenRequested,
 }
 
-/// What a watch is set up with.
+/// The parameters of a [`DiscoveryWatch`].
 pub struct WatchSetup {
-    /// Where discovery is; a new configuration may name another address.
+    /// Address of discovery. Its value changes when a reloaded configuration has another address.
     pub address: watch::Receiver<SocketAddr>,
-    /// How the list arrives.
+    /// Whether an agent pushes the list or the node polls a service.
     pub mode: DiscoveryMode,
-    /// Names of zones.
+    /// Index of zone names, from the settings.
     pub names: Rc<NameIndex>,
-    /// The count of descriptors.
+    /// The limit on descriptors, from which connections to discovery take their permits.
     pub descriptors: Rc<Descriptors>,
-    /// The decisions' requests to watch, with polled discovery.
+    /// Receives `true` when the balancer starts the watch and `false` when it stops the watch.
     pub watch_requests: mpsc::UnboundedReceiver<bool>,
-    /// The version of the list that the node has, if it has one; shared with what outlives the process. The
-    /// first call asks for what changed since: a full list costs the service a line for each endpoint, and
-    /// after an outage all nodes start at once.
+    /// Version of the list that the node has; `None` if it has to request the full list. The state file
+    /// stores this version for the next process. The first call requests only the changes after it: a full
+    /// list costs the service one line for each endpoint, and after an outage all nodes start at once.
     pub version: Rc<Cell<Option<u64>>>,
-    /// The process before this one knew a newer list: it is asked for at once, whatever the decisions'
-    /// pace.
-    pub is_behind: bool,
-    /// For jitter.
+    /// Whether the previous process knew a newer list than this one started with. The first call is then
+    /// made at once, and not when the balancer starts the watch.
+    pub is_list_outdated: bool,
+    /// Source of the jitter.
     pub rng: fastrand::Rng,
 }
 
-/// Keeps the endpoint list up to date for as long as the node lives.
+/// Keeps the endpoint list up to date for as long as the process runs.
 pub struct DiscoveryWatch {
     state: WatchState,
     client: DiscoveryClient,
@@ -104,20 +109,20 @@
     address: SocketAddr,
     watch_requests: mpsc::UnboundedReceiver<bool>,
     shared_version: Rc<Cell<Option<u64>>>,
-    /// The version that the next call asks for changes after; none where it asks for the full list.
+    /// The next call requests the changes after this version, or the full list if it is `None`.
     version: Option<u64>,
     consecutive_failures: u32,
-    /// A silent call was repeated at once since the last answer.
-    has_repeated_silent_call: bool,
-    /// Until when what discovery has is to be known after a new configuration.
-    known_by: Instant,
+    /// Whether a call without a valid response was repeated at once since the last successful call.
+    has_repeated_immediately: bool,
+    /// When the node is expected to know the list of a changed address.
+    address_change_deadline: Instant,
     rng: fastrand::Rng,
 }
 
 impl DiscoveryWatch {
-    /// A watch that has made no call.
+    /// Creates a watch that has made no call. In push mode it starts by itself.
     pub fn new(setup: WatchSetup) -> DiscoveryWatch {
-        let starts_at_once = setup.mode == DiscoveryMode::Push || setup.is_behind;
+        let starts_at_once = setup.mode == DiscoveryMode::Push || setup.is_list_outdated;
         let address = *setup.address.borrow();
         DiscoveryWatch {
             state: if starts_at_once { WatchState::CatchingUp } else { WatchState::Paused },
@@ -129,18 +134,19 @@
             version: setup.version.get(),
             shared_version: setup.version,
             consecutive_failures: 0,
-            has_repeated_silent_call: false,
-            known_by: Instant::now(),
+            has_repeated_immediately: false,
+            address_change_deadline: Instant::now(),
             rng: setup.rng,
         }
     }
 
-    /// Runs until the driver is gone.
+    /// Makes calls and reports their results to the driver. Returns only when the channel of watch requests
+    /// is closed.
     pub async fn run(mut self, driver: Rc<Driver>) {
-        spawn_local(mark_list_current_after_start(self.mode, driver.clone()));
+        spawn_local(mark_list_current_after_timeout(self.mode, driver.clone()));
         loop {
-            self.take_watch_requests();
-            self.take_new_address();
+            self.apply_watch_requests();
+            self.apply_address_change();
             let call = match self.state {
                 WatchState::Paused => {
                     if !self.wait_while_paused().await {
@@ -151,55 +157,56 @@
                 WatchState::CatchingUp => CallKind::CatchUp,
                 WatchState::Watching => CallKind::Watch { check_interval: self.check_interval() },
             };
-            let begun_at = Instant::now();
+            let started_at = Instant::now();
             let mut addresses = self.addresses.clone();
-            // A call to the old address is abandoned: its answer may be of another list.
-            let ended = tokio::select! {
-                ended = self.client.call(self.address, self.version, call) => ended,
+            // A change of the address cancels the call: the old address may have a different list.
+            let result = tokio::select! {
+                result = self.client.call(self.address, self.version, call) => result,
                 Ok(()) = addresses.changed() => continue,
             };
-            match ended {
-                Ok(outcome) => self.on_answer(outcome, begun_at, &driver).await,
-                Err(error) => self.on_failure(&error, begun_at, &driver).await,
+            match result {
+                Ok(outcome) => self.on_success(outcome, started_at, &driver).await,
+                Err(error) => self.on_failure(&error, started_at, &driver).await,
             }
         }
     }
 
-    fn take_watch_requests(&mut self) {
-        while let Ok(wanted) = self.watch_requests.try_recv() {
-            self.on_watch_request(wanted);
+    fn apply_watch_requests(&mut self) {
+        while let Ok(should_watch) = self.watch_requests.try_recv() {
+            self.on_watch_request(should_watch);
         }
     }
 
-    fn on_watch_request(&mut self, wanted: bool) {
-        match (wanted, self.state) {
+    fn on_watch_request(&mut self, should_watch: bool) {
+        match (should_watch, self.state) {
             (false, _) => self.state = WatchState::Paused,
             (true, WatchState::Paused) => self.state = WatchState::CatchingUp,
             (true, WatchState::CatchingUp | WatchState::Watching) => {}
         }
     }
 
-    /// Takes over a new address from the configuration; the next call goes there at once.
-    fn take_new_address(&mut self) {
+    /// If the address has changed, disconnects from the old address and calls the new one next.
+    fn apply_address_change(&mut self) {
         let address = *self.addresses.borrow_and_update();
         if address == self.address {
             return;
         }
-        // An agent may count versions on its own, and sends its full list at no cost. The one service of
-        // all nodes has the same count wherever it is, and cannot send its full list to each of them in
-        // time.
+        // Another agent may have its own version numbers, and its full list costs nothing. The service of
+        // poll mode keeps its version numbers at a new address, and could not send the full list to all
+        // nodes in time.
         self.version = self.version.filter(|_| self.mode == DiscoveryMode::Poll);
         self.address = address;
         self.client.disconnect();
         self.state = WatchState::CatchingUp;
-        self.known_by = Instant::now() + MOVE_TIMEOUT;
+        self.address_change_deadline = Instant::now() + ADDRESS_CHANGE_TIMEOUT;
     }
 
-    /// Waits for a request to watch or a new address; false where the driver is gone.
+    /// Waits for a watch request or a change of the address. Returns `false` if the channel of watch requests
+    /// is closed.
     async fn wait_while_paused(&mut self) -> bool {
         tokio::select! {
-            wanted = self.watch_requests.recv() => match wanted {
-                Some(wanted) => self.on_watch_request(wanted),
+            request = self.watch_requests.recv() => match request {
+                Some(should_watch) => self.on_watch_request(should_watch),
                 None => return false,
             },
             Ok(()) = self.addresses.changed() => {}
@@ -211,18 +218,18 @@
         CHECK_INTERVAL.mul_f64(1.0 - CHECK_JITTER * self.rng.f64())
     }
 
-    async fn on_answer(&mut self, outcome: CallOutcome, begun_at: Instant, driver: &Rc<Driver>) {
+    async fn on_success(&mut self, outcome: CallOutcome, started_at: Instant, driver: &Rc<Driver>) {
         let was_watching = self.state == WatchState::Watching;
         self.state = WatchState::Watching;
-        self.has_repeated_silent_call = false;
+        self.has_repeated_immediately = false;
         if self.consecutive_failures > 0 {
             let failures = self.consecutive_failures;
-            log::line(&format!("discovery: answers again after {failures} failed calls"));
+            log::line(&format!("discovery: available again after {failures} failed calls"));
             self.consecutive_failures = 0;
         }
         match outcome {
-            CallOutcome::List(list) => self.on_list(list, was_watching, begun_at, driver).await,
-            // An answer without a change still means that the call did not fail.
+            CallOutcome::List(list) => self.on_list(list, was_watching, started_at, driver).await,
+            // Reports to the balancer that the call did not fail, although nothing has changed.
             CallOutcome::WatchExpired => report(driver, WatchUpdate::Delta, None),
         }
     }
@@ -231,34 +238,34 @@
         &mut self,
         list: EndpointList,
         was_watching: bool,
-        begun_at: Instant,
+        started_at: Instant,
         driver: &Rc<Driver>,
     ) {
-        let has_not_waited = begun_at.elapsed() < HASTY_WATCH;
-        let did_not_wait = was_watching && self.version == Some(list.version) && has_not_waited;
-        // Discovery counts versions anew if its version is below the known one: only the full list is valid
-        // then.
+        let ended_at_once = started_at.elapsed() < MIN_WATCH_TIME;
+        let did_not_wait = was_watching && self.version == Some(list.version) && ended_at_once;
+        // If its version is below the known one, discovery has restarted its version numbers. Changes
+        // cannot be applied to the known list then, and the next call requests the full list.
         let versions_restarted = !list.is_complete && self.version.is_none_or(|known| list.version < known);
         self.version = if versions_restarted { None } else { Some(list.version) };
         self.shared_version.set(self.version);
         if !versions_restarted {
-            list.log(begun_at.elapsed());
+            list.log(started_at.elapsed());
             report(driver, list.update_kind(), Some(list));
             driver.mark_list_current();
         }
         if versions_restarted || did_not_wait {
-            // Keeps this loop from spinning on watches that do not wait.
+            // Prevents a busy loop of calls to a discovery that does not wait for updates.
             tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Handles a failed call. Changes missed meanwhile may count as known soon, so the next call does not
-    /// wait for an update.
-    async fn on_failure(&mut self, error: &DiscoveryError, begun_at: Instant, driver: &Rc<Driver>) {
+    /// Handles a failed call. The node may be expected to know soon the changes that the call missed, so the
+    /// next call does not wait for an update.
+    async fn on_failure(&mut self, error: &DiscoveryError, started_at: Instant, driver: &Rc<Driver>) {
         self.client.disconnect();
         self.state = WatchState::CatchingUp;
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        if begun_at.elapsed() < DOWN_WITHIN
+        if started_at.elapsed() < IMMEDIATE_FAILURE_TIME
             && !error.is_timeout_or_invalid_response()
             && !error.is_local_failure()
         {
@@ -266,10 +273,12 @@
         }
         if self.consecutive_failures.is_power_of_two() {
             let (failures, address) = (self.consecutive_failures, self.address);
-            log::line(&format!("discovery: no answer to {failures} calls in a row: {address}: {error}"));
+            log::line(&format!(
+                "discovery: no answer to {failures} consecutive calls to {address}: {error}"
+            ));
         }
         match self.retry_after(error) {
-            Retry::Immediately => self.has_repeated_silent_call = true,
+            Retry::Immediately => self.has_repeated_immediately = true,
             Retry::After(pause) => tokio::time::sleep(pause).await,
             Retry::WhenRequested => {
                 self.state = WatchState::Paused;
@@ -280,36 +289,37 @@
 
     fn retry_after(&mut self, error: &DiscoveryError) -> Retry {
         if self.mode == DiscoveryMode::Push {
-            // The agent that answers next may count versions anew, and its full list costs nothing.
+            // The agent may have restarted its version numbers by the next call, and its full list costs
+            // nothing.
             self.version = None;
             Retry::After(RETRY_PAUSE)
-        } else if error.is_timeout_or_invalid_response() && !self.has_repeated_silent_call {
-            // A change that the call would have brought counts as known soon, and silence is no sign of
-            // overload: an overloaded service refuses.
+        } else if error.is_timeout_or_invalid_response() && !self.has_repeated_immediately {
+            // The node is expected to know soon a change that the call missed. Repeating the call at once
+            // is safe: an overloaded service refuses calls, so a missing response is no sign of overload.
             Retry::Immediately
-        } else if Instant::now() < self.known_by {
-            Retry::After(MOVE_RETRY_PAUSE.mul_f64(0.5 + 0.5 * self.rng.f64()))
+        } else if Instant::now() < self.address_change_deadline {
+            Retry::After(ADDRESS_CHANGE_RETRY_PAUSE.mul_f64(0.5 + 0.5 * self.rng.f64()))
         } else {
             Retry::WhenRequested
         }
     }
 }
 
-/// Reports to the decisions what a call brought.
+/// Reports the result of a call to the balancer. Without a list, the update has no endpoints.
 fn report(driver: &Rc<Driver>, update: WatchUpdate, list: Option<EndpointList>) {
     let endpoints = list.map_or_else(Vec::new, |list| list.endpoints);
     driver.take(DriverEvent::EndpointsChanged { update, endpoints });
 }
 
-/// Marks the configured list as good enough to serve by, once discovery has had time to answer. The task
-/// ends then.
-async fn mark_list_current_after_start(mode: DiscoveryMode, driver: Rc<Driver>) {
+/// Marks the list that the process started with as current when discovery has had enough time to respond.
+/// The task then ends.
+async fn mark_list_current_after_timeout(mode: DiscoveryMode, driver: Rc<Driver>) {
     let timeout = match mode {
         DiscoveryMode::Push => PUSH_START_TIMEOUT,
         DiscoveryMode::Poll => POLL_START_TIMEOUT,
     };
     tokio::time::sleep(timeout).await;
     if driver.mark_list_current() {
-        log::line("discovery: no answer since the start; serves by the list given there");
+        log::line("discovery: no answer since the start; serving with the initial endpoint list");
     }
 }
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -218,7 +218,7 @@
             descriptors: descriptors.clone(),
             watch_requests,
             version,
-            is_behind,
+            is_list_outdated: is_behind,
             rng: fastrand::Rng::with_seed(!config.seed),
         });
         spawn_background_tasks(&driver, watch, reload::run(hangup, discovery), upstream, sockets.peers);
