--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -143,7 +143,7 @@
     /// Makes calls and reports their results to the driver. Returns only when the channel of watch requests
     /// is closed.
     pub async fn run(mut self, driver: Rc<Driver>) {
-        spawn_local(mark_list_current_after_timeout(self.mode, driver.clone()));
+        spawn_local(mark_list_usable_after_timeout(self.mode, driver.clone()));
         loop {
             self.apply_watch_requests();
             self.apply_address_change();
@@ -251,7 +251,7 @@
         if !versions_restarted {
             list.log(started_at.elapsed());
             report(driver, list.update_kind(), Some(list));
-            driver.mark_list_current();
+            driver.mark_list_usable();
         }
         if versions_restarted || did_not_wait {
             // Prevents a busy loop of calls to a discovery that does not wait for updates.
@@ -269,7 +269,7 @@
             && !error.is_timeout_or_invalid_response()
             && !error.is_local_failure()
         {
-            driver.mark_list_current();
+            driver.mark_list_usable();
         }
         if self.consecutive_failures.is_power_of_two() {
             let (failures, address) = (self.consecutive_failures, self.address);
@@ -308,18 +308,18 @@
 /// Reports the result of a call to the balancer. Without a list, the update has no endpoints.
 fn report(driver: &Rc<Driver>, update: WatchUpdate, list: Option<EndpointList>) {
     let endpoints = list.map_or_else(Vec::new, |list| list.endpoints);
-    driver.take(DriverEvent::EndpointsChanged { update, endpoints });
+    driver.handle(DriverEvent::EndpointsChanged { update, endpoints });
 }
 
 /// Marks the list that the process started with as current when discovery has had enough time to respond.
 /// The task then ends.
-async fn mark_list_current_after_timeout(mode: DiscoveryMode, driver: Rc<Driver>) {
+async fn mark_list_usable_after_timeout(mode: DiscoveryMode, driver: Rc<Driver>) {
     let timeout = match mode {
         DiscoveryMode::Push => PUSH_START_TIMEOUT,
         DiscoveryMode::Poll => POLL_START_TIMEOUT,
     };
     tokio::time::sleep(timeout).await;
-    if driver.mark_list_current() {
+    if driver.mark_list_usable() {
         log::line("discovery: no answer since the start; serving with the initial endpoint list");
     }
 }
--- a/src/node/driver/attempt.rs
+++ b/src/node/driver/attempt.rs
@@ -1,7 +1,7 @@
 //! Sends the attempts that the decisions order, and reports how each ended.
 
-use super::event::AttemptResponse;
-use super::{Core, Driver, DriverEvent};
+use super::event::AttemptReport;
+use super::{Driver, DriverEvent, DriverState};
 use crate::observability::counters::CounterKind;
 use crate::observability::log;
 use crate::observability::request_trace::WithheldReason;
@@ -20,7 +20,7 @@
 
 /// An attempt as the decisions want it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AttemptOrder {
+pub(super) struct AttemptParameters {
     pub id: RequestId,
     pub endpoint: EndpointId,
     pub timeout_ms: f64,
@@ -28,95 +28,102 @@
 }
 
 /// Reports the end of an attempt exactly once, when dropped, even if its task ends unexpectedly.
-struct AttemptReport {
+struct AttemptReporter {
     driver: Rc<Driver>,
     id: RequestId,
     attempt: u32,
     endpoint: EndpointId,
     /// From when on the attempt's time counts.
-    counts_from: Instant,
+    timing_start: Instant,
     result: Option<AttemptResult>,
 }
 
-impl AttemptReport {
-    fn response(&mut self) -> AttemptResponse {
+impl AttemptReporter {
+    fn report(&mut self) -> AttemptReport {
         // An attempt that ended without a result may have run.
         let result = self.result.take().unwrap_or_else(|| AttemptOutcome::ConnectionReset.into());
-        AttemptResponse {
+        AttemptReport {
             id: self.id,
             attempt: self.attempt,
             endpoint: self.endpoint,
             result,
-            elapsed_ms: self.counts_from.elapsed().as_secs_f64() * 1000.0,
+            elapsed_ms: self.timing_start.elapsed().as_secs_f64() * 1000.0,
         }
     }
 }
 
-impl Drop for AttemptReport {
+impl Drop for AttemptReporter {
     fn drop(&mut self) {
-        let response = self.response();
-        self.driver.take(DriverEvent::AttemptEnded(response));
+        let report = self.report();
+        self.driver.handle(DriverEvent::AttemptEnded(report));
     }
 }
 
 impl Driver {
     /// The one place in which an attempt begins. One that may not is reported as not sent.
-    pub(super) fn send_attempt(self: &Rc<Self>, core: &mut Core, now_ms: f64, order: AttemptOrder) {
-        let AttemptOrder { id, endpoint, timeout_ms, begin_within_ms } = order;
-        let target = core.attempt_target(endpoint);
-        let Some(open) = core.requests.get_mut(id) else { return };
-        let mut report = AttemptReport {
+    pub(super) fn send_attempt(
+        self: &Rc<Self>,
+        state: &mut DriverState,
+        now_ms: f64,
+        parameters: AttemptParameters,
+    ) {
+        let AttemptParameters { id, endpoint, timeout_ms, begin_within_ms } = parameters;
+        let target = state.attempt_target(endpoint);
+        let Some(open_request) = state.requests.get_mut(id) else { return };
+        let mut reporter = AttemptReporter {
             driver: self.clone(),
             id,
-            attempt: open.next_attempt(),
+            attempt: open_request.next_attempt(),
             endpoint,
-            counts_from: Instant::now(),
+            timing_start: Instant::now(),
             result: Some(AttemptOutcome::NotSent.into()),
         };
-        let allowed = core.guard.may_send(now_ms, &open.facts(), &target);
-        let (cancel, cancelled) = oneshot::channel();
-        open.add_attempt(endpoint, target.location, now_ms, cancel);
-        if let Err(violation) = allowed {
-            return core.counters.violation(violation, open.trace.id());
+        let permission = state.guard.may_send(now_ms, &open_request.facts(), &target);
+        let (cancel_handle, cancellation) = oneshot::channel();
+        open_request.add_attempt(endpoint, target.location, now_ms, cancel_handle);
+        if let Err(violation) = permission {
+            return state.counters.violation(violation, open_request.trace.id());
         }
-        if !open.proxied.is_sendable() {
-            open.trace.withheld(WithheldReason::BodySpent);
-            return core.counters.count(CounterKind::Withheld, WithheldReason::BodySpent.name());
+        if !open_request.proxied.is_sendable() {
+            open_request.trace.withheld(WithheldReason::BodySpent);
+            return state.counters.count(CounterKind::Withheld, WithheldReason::BodySpent.name());
         }
-        let Some(address) = core.endpoints.address(endpoint) else { return };
-        report.result = None;
-        let begun_at = report.counts_from;
+        let Some(address) = state.endpoints.address(endpoint) else { return };
+        reporter.result = None;
+        let begun_at = reporter.timing_start;
         let attempt = Attempt {
             endpoint,
             address,
-            proxied: open.proxied.clone(),
+            proxied: open_request.proxied.clone(),
             until: begun_at + span(timeout_ms, MAX_SPAN_MS),
             begin_by: begun_at + span(begin_within_ms, MAX_SPAN_MS),
             begun_at,
         };
-        spawn_local(run_attempt(attempt, report, cancelled));
+        spawn_local(run_attempt(attempt, reporter, cancellation));
     }
 
     /// Keeps a connection unless its endpoint has drained, gone or moved meanwhile.
-    fn keep_connection(
+    fn return_connection_to_pool(
         &self,
         endpoint: EndpointId,
         address: SocketAddr,
         connection: Option<UpstreamConnection>,
     ) {
-        let core = self.core.borrow();
-        let is_same = core.is_routable(endpoint) && core.endpoints.address(endpoint) == Some(address);
-        if let Some(connection) = connection.filter(|_| is_same) {
+        let state = self.state.borrow();
+        let is_reusable = state.is_routable(endpoint) && state.endpoints.address(endpoint) == Some(address);
+        if let Some(connection) = connection.filter(|_| is_reusable) {
             self.upstream.keep(endpoint, connection);
         }
     }
 
     /// Checks again right before the first byte of an attempt is sent, because connecting took time.
-    fn still_wanted(&self, id: RequestId, attempt: &Attempt) -> Result<(), WithheldReason> {
-        let mut core = self.core.borrow_mut();
-        let is_routable = core.is_routable(attempt.endpoint);
-        let Some(open) = core.requests.get_mut(id) else { return Err(WithheldReason::RequestOver) };
-        let wanted = if !open.awaits_answer() {
+    fn check_before_send(&self, id: RequestId, attempt: &Attempt) -> Result<(), WithheldReason> {
+        let mut state = self.state.borrow_mut();
+        let is_routable = state.is_routable(attempt.endpoint);
+        let Some(open_request) = state.requests.get_mut(id) else {
+            return Err(WithheldReason::RequestOver);
+        };
+        let check_result = if !open_request.awaits_answer() {
             Err(WithheldReason::RequestOver)
         } else if !is_routable {
             Err(WithheldReason::EndpointWithdrawn)
@@ -125,34 +132,38 @@
         } else {
             Ok(())
         };
-        if let Err(reason) = wanted {
-            open.trace.withheld(reason);
-            core.counters.count(CounterKind::Withheld, reason.name());
+        if let Err(reason) = check_result {
+            open_request.trace.withheld(reason);
+            state.counters.count(CounterKind::Withheld, reason.name());
         }
-        wanted
+        check_result
     }
 }
 
 /// Carries an attempt out until it ends or is cancelled. The task that runs this ends by itself, at the
 /// latest with the attempt's timeout and, for a streamed response, with that; the end of the process ends
 /// it too.
-async fn run_attempt(attempt: Attempt, mut report: AttemptReport, mut cancelled: oneshot::Receiver<()>) {
-    let driver = report.driver.clone();
-    let end = drive_attempt(&driver, &attempt, &mut report, &mut cancelled).await;
+async fn run_attempt(
+    attempt: Attempt,
+    mut reporter: AttemptReporter,
+    mut cancellation: oneshot::Receiver<()>,
+) {
+    let driver = reporter.driver.clone();
+    let end = drive_attempt(&driver, &attempt, &mut reporter, &mut cancellation).await;
     let (result, connection) = match end {
         AttemptEnd::Complete(result, connection) => (result, connection),
-        AttemptEnd::Streaming(result, ended) => {
-            report.result = Some(result);
-            let response = report.response();
-            driver.take(DriverEvent::ResponseStarted(response));
-            let (outcome, connection) = ended.await.unwrap_or((AttemptOutcome::Cancelled, None));
+        AttemptEnd::Streaming(result, stream_end) => {
+            reporter.result = Some(result);
+            let report = reporter.report();
+            driver.handle(DriverEvent::ResponseStarted(report));
+            let (outcome, connection) = stream_end.await.unwrap_or((AttemptOutcome::Cancelled, None));
             log_broken_stream(attempt.endpoint, outcome);
             (outcome.into(), connection)
         }
     };
-    report.result = Some(result);
-    drop(report);
-    driver.keep_connection(attempt.endpoint, attempt.address, connection);
+    reporter.result = Some(result);
+    drop(reporter);
+    driver.return_connection_to_pool(attempt.endpoint, attempt.address, connection);
 }
 
 /// Waits for the end of an attempt or the beginning of a streamed response, while the request's body goes
@@ -160,16 +171,16 @@
 async fn drive_attempt(
     driver: &Rc<Driver>,
     attempt: &Attempt,
-    report: &mut AttemptReport,
-    cancelled: &mut oneshot::Receiver<()>,
+    reporter: &mut AttemptReporter,
+    cancellation: &mut oneshot::Receiver<()>,
 ) -> AttemptEnd {
-    let id = report.id;
-    let mut sent = pin!(driver.upstream.attempt(attempt, || driver.still_wanted(id, attempt)));
+    let id = reporter.id;
+    let mut attempt_end = pin!(driver.upstream.attempt(attempt, || driver.check_before_send(id, attempt)));
     let body_complete = async {
         match attempt.proxied.body_complete().await {
-            Some(at) => {
-                driver.take(DriverEvent::RequestBodyComplete(id));
-                at
+            Some(completed_at) => {
+                driver.handle(DriverEvent::RequestBodyComplete(id));
+                completed_at
             }
             None => std::future::pending().await,
         }
@@ -178,9 +189,11 @@
     loop {
         tokio::select! {
             biased;
-            _ = &mut *cancelled => return AttemptEnd::Complete(AttemptOutcome::Cancelled.into(), None),
-            at = &mut body_complete, if report.counts_from == attempt.begun_at => report.counts_from = at,
-            end = &mut sent => return end,
+            _ = &mut *cancellation => return AttemptEnd::Complete(AttemptOutcome::Cancelled.into(), None),
+            completed_at = &mut body_complete, if reporter.timing_start == attempt.begun_at => {
+                reporter.timing_start = completed_at;
+            }
+            end = &mut attempt_end => return end,
         }
     }
 }
--- a/src/node/driver/endpoint_table.rs
+++ b/src/node/driver/endpoint_table.rs
@@ -63,7 +63,7 @@
 
 impl EndpointTable {
     /// The endpoints that can be sent to, as far as discovery goes.
-    pub fn ids(&self) -> impl Iterator<Item = EndpointId> {
+    pub fn active_ids(&self) -> impl Iterator<Item = EndpointId> {
         self.active.keys().copied()
     }
 
@@ -97,7 +97,7 @@
         clock: &Clock,
     ) -> Vec<EndpointUpdate> {
         if matches!(update, WatchUpdate::Snapshot | WatchUpdate::CachedSnapshot) {
-            self.forget_all();
+            self.mark_all_removed();
         }
         let apply = |endpoint| self.apply_endpoint(endpoint, upstream, clock);
         let updates = endpoints.into_iter().map(apply).collect();
@@ -106,7 +106,7 @@
     }
 
     /// A full list follows: an endpoint that it leaves out has been removed.
-    fn forget_all(&mut self) {
+    fn mark_all_removed(&mut self) {
         self.active.values_mut().for_each(|endpoint| endpoint.is_active = false);
         self.listed.clear();
     }
--- a/src/node/driver/event.rs
+++ b/src/node/driver/event.rs
@@ -8,7 +8,7 @@
 use wheelpath::policy::{EndpointId, EndpointSnapshot, Request, RequestId, WatchUpdate};
 
 /// What an attempt brought.
-pub struct AttemptResponse {
+pub struct AttemptReport {
     /// The request.
     pub id: RequestId,
     /// Number of the attempt.
@@ -46,9 +46,9 @@
     /// The last byte of a request's body has come and gone on.
     RequestBodyComplete(RequestId),
     /// A streamed response has begun.
-    ResponseStarted(AttemptResponse),
+    ResponseStarted(AttemptReport),
     /// An attempt is over.
-    AttemptEnded(AttemptResponse),
+    AttemptEnded(AttemptReport),
     /// A timer is due.
     Timer(u64),
     /// The operators take an endpoint out of service.
--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -1,6 +1,6 @@
 //! The only owner of the balancer: events in, actions out, one at a time and in order.
 //!
-//! Sockets, timers and tasks report to [`Driver::take`]. What they report is noted in the tables of open
+//! Sockets, timers and tasks report to [`Driver::handle`]. What they report is noted in the tables of open
 //! requests and known endpoints, translated for the balancer, and the actions that come back are carried
 //! out at once. The driver decides nothing itself; it checks every attempt and rejection with the
 //! [`InvariantGuard`] before it carries it out.
@@ -15,9 +15,9 @@
 pub use event::DriverEvent;
 pub use pending_response::{Answer, PendingResponse};
 
-use crate::driver::attempt::AttemptOrder;
+use crate::driver::attempt::AttemptParameters;
 use crate::driver::endpoint_table::EndpointTable;
-use crate::driver::event::AttemptResponse;
+use crate::driver::event::AttemptReport;
 use crate::driver::pending_response::Responder;
 use crate::driver::request_table::{OpenRequest, RequestTable};
 use crate::observability::counters::{CounterKind, Counters, Violation};
@@ -39,7 +39,7 @@
 use wheelpath::stable_hash::stable_hash;
 
 /// What events change.
-struct Core {
+struct DriverState {
     balancer: Balancer,
     guard: InvariantGuard,
     counters: Rc<Counters>,
@@ -49,8 +49,8 @@
 
 /// Events in, actions out.
 pub struct Driver {
-    core: RefCell<Core>,
-    inbox: RefCell<VecDeque<DriverEvent>>,
+    state: RefCell<DriverState>,
+    queued_events: RefCell<VecDeque<DriverEvent>>,
     /// The clock of all events.
     pub clock: Clock,
     /// What was done, by reason.
@@ -60,7 +60,7 @@
     watch_requests: mpsc::UnboundedSender<bool>,
     next_request: Cell<u64>,
     /// Discovery has answered, or has had time to: until then the list may be long out of date.
-    list_is_current: Cell<bool>,
+    list_is_usable: Cell<bool>,
 }
 
 impl Driver {
@@ -75,21 +75,21 @@
     ) -> Rc<Driver> {
         let counters = Rc::new(Counters::default());
         Rc::new(Driver {
-            core: RefCell::new(Core {
+            state: RefCell::new(DriverState {
                 balancer,
                 guard,
                 counters: counters.clone(),
                 requests: RequestTable::new(counters.clone()),
                 endpoints: EndpointTable::default(),
             }),
-            inbox: RefCell::default(),
+            queued_events: RefCell::default(),
             clock: Clock::new(),
             counters,
             upstream,
             peers,
             watch_requests,
             next_request: Cell::new(0),
-            list_is_current: Cell::new(false),
+            list_is_usable: Cell::new(false),
         })
     }
 
@@ -110,96 +110,96 @@
         let proxied = Rc::new(proxied);
         let submitted_at = Instant::now();
         let responder = Responder::new(responder);
-        self.take(DriverEvent::RequestArrived { request, proxied: proxied.clone(), responder });
+        self.handle(DriverEvent::RequestArrived { request, proxied: proxied.clone(), responder });
         PendingResponse::new(self.clone(), id, proxied, answer, submitted_at, expires_at)
     }
 
     /// Requests that are not over.
     pub fn open_requests(&self) -> usize {
-        self.core.borrow().requests.len()
+        self.state.borrow().requests.len()
     }
 
     /// Fails all that is pending, for a node that has no more time.
-    pub fn fail_pending(self: &Rc<Self>) {
-        let pending = self.core.borrow().requests.unanswered();
-        for id in pending {
-            self.take(DriverEvent::ClientDisconnected(id, RequestEnding::Stopped));
+    pub fn fail_unanswered(self: &Rc<Self>) {
+        let unanswered = self.state.borrow().requests.unanswered();
+        for id in unanswered {
+            self.handle(DriverEvent::ClientDisconnected(id, RequestEnding::Stopped));
         }
     }
 
     /// Counts requests that the end of the process leaves without an answer.
     pub fn count_unanswered(&self) {
-        let core = self.core.borrow();
-        for id in core.requests.unanswered() {
-            let trace_id = core.requests.get(id).map_or("?", |open| open.trace.id());
+        let state = self.state.borrow();
+        for id in state.requests.unanswered() {
+            let trace_id = state.requests.get(id).map_or("?", |request| request.trace.id());
             self.counters.violation(Violation::EndUnanswered, trace_id);
         }
     }
 
     /// Whether a request could be served, by a list that is not out of date.
     pub fn is_ready(&self) -> bool {
-        let core = self.core.borrow();
-        self.list_is_current.get() && core.endpoints.ids().any(|id| core.is_routable(id))
+        let state = self.state.borrow();
+        self.list_is_usable.get() && state.endpoints.active_ids().any(|id| state.is_routable(id))
     }
 
     /// Marks the endpoint list as good enough to serve by: discovery has sent it, or does not answer. True
     /// the first time.
-    pub fn mark_list_current(&self) -> bool {
-        !self.list_is_current.replace(true)
+    pub fn mark_list_usable(&self) -> bool {
+        !self.list_is_usable.replace(true)
     }
 
     /// The endpoint of that name; none for one that neither the list nor an earlier command has named.
     pub fn find_endpoint(&self, name: &str) -> Option<EndpointId> {
         let id = EndpointId(stable_hash(name));
-        let core = self.core.borrow();
-        let is_disabled = core.balancer.disabled_endpoints().any(|disabled| disabled == id);
-        (is_disabled || core.endpoints.is_listed(id)).then_some(id)
+        let state = self.state.borrow();
+        let is_disabled = state.balancer.disabled_endpoints().any(|disabled| disabled == id);
+        (is_disabled || state.endpoints.is_listed(id)).then_some(id)
     }
 
     /// Takes an endpoint out of service or puts it back. True if that changed anything.
     pub fn set_disabled(self: &Rc<Self>, id: EndpointId, disable: bool) -> bool {
-        let was_disabled = self.disabled().contains(&id);
-        self.take(if disable { DriverEvent::Disable(id) } else { DriverEvent::Enable(id) });
+        let was_disabled = self.disabled_endpoints().contains(&id);
+        self.handle(if disable { DriverEvent::Disable(id) } else { DriverEvent::Enable(id) });
         was_disabled != disable
     }
 
     /// The endpoints that the operators have out of service.
-    pub fn disabled(&self) -> BTreeSet<EndpointId> {
-        self.core.borrow().balancer.disabled_endpoints().collect()
+    pub fn disabled_endpoints(&self) -> BTreeSet<EndpointId> {
+        self.state.borrow().balancer.disabled_endpoints().collect()
     }
 
     /// What the next process has to know of endpoints.
     pub fn snapshot(&self) -> Vec<EndpointSnapshot> {
-        self.core.borrow().balancer.snapshot(self.clock.now_ms())
+        self.state.borrow().balancer.snapshot(self.clock.now_ms())
     }
 
     /// The single entry point for events. Events that arise while one is handled are queued.
-    pub fn take(self: &Rc<Self>, event: DriverEvent) {
-        self.inbox.borrow_mut().push_back(event);
-        let Ok(mut core) = self.core.try_borrow_mut() else { return };
+    pub fn handle(self: &Rc<Self>, event: DriverEvent) {
+        self.queued_events.borrow_mut().push_back(event);
+        let Ok(mut state) = self.state.try_borrow_mut() else { return };
         let mut actions = Vec::new();
         loop {
-            let next = self.inbox.borrow_mut().pop_front();
+            let next = self.queued_events.borrow_mut().pop_front();
             let Some(event) = next else { return };
-            let Some(event) = core.translate(event, &self.upstream, &self.clock) else { continue };
+            let Some(event) = state.translate(event, &self.upstream, &self.clock) else { continue };
             let now_ms = self.clock.now_ms();
-            core.balancer.handle(now_ms, event, &mut actions);
+            state.balancer.handle(now_ms, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(&mut core, now_ms, action);
+                self.execute(&mut state, now_ms, action);
             }
         }
     }
 
-    fn carry_out(self: &Rc<Self>, core: &mut Core, now_ms: f64, action: Action) {
+    fn execute(self: &Rc<Self>, state: &mut DriverState, now_ms: f64, action: Action) {
         match action {
             Action::SendAttempt { id, endpoint, timeout_ms, begin_within_ms } => {
-                let order = AttemptOrder { id, endpoint, timeout_ms, begin_within_ms };
-                self.send_attempt(core, now_ms, order);
+                let parameters = AttemptParameters { id, endpoint, timeout_ms, begin_within_ms };
+                self.send_attempt(state, now_ms, parameters);
             }
-            Action::CancelAttempt { id, attempt } => core.requests.cancel_attempt(id, attempt),
-            Action::Reject { id, retry_after_ms, reason } => core.reject(id, retry_after_ms, reason),
+            Action::CancelAttempt { id, attempt } => state.requests.cancel_attempt(id, attempt),
+            Action::Reject { id, retry_after_ms, reason } => state.reject(id, retry_after_ms, reason),
             Action::Fail { id, reason } => {
-                core.requests.respond(id, Answer::Failed, RequestEnding::Failed(reason));
+                state.requests.respond(id, Answer::Failed, RequestEnding::Failed(reason));
             }
             Action::Timer { token, at_ms } => self.set_timer(token, at_ms),
             Action::CloseIdleConnections(endpoint) => self.upstream.close_idle(endpoint),
@@ -220,12 +220,12 @@
         let due = self.clock.instant(at_ms);
         spawn_local(async move {
             tokio::time::sleep_until(due.into()).await;
-            driver.take(DriverEvent::Timer(token));
+            driver.handle(DriverEvent::Timer(token));
         });
     }
 }
 
-impl Core {
+impl DriverState {
     /// Whether an endpoint may be sent to at this moment.
     fn is_routable(&self, endpoint: EndpointId) -> bool {
         self.endpoints.is_active(endpoint) && self.balancer.is_in_service(endpoint)
@@ -248,22 +248,22 @@
                 endpoints: self.endpoints.apply(update, endpoints, upstream, clock),
             },
             DriverEvent::RequestArrived { request, proxied, responder } => {
-                let open = OpenRequest::new(&request, proxied, responder, clock.now_ms());
-                self.requests.insert(request.id, open);
+                let open_request = OpenRequest::new(&request, proxied, responder, clock.now_ms());
+                self.requests.insert(request.id, open_request);
                 Event::Request(request)
             }
             DriverEvent::ClientDisconnected(id, ending) => {
                 // After the answer this changes nothing.
-                self.requests.get(id).filter(|open| open.awaits_answer())?;
+                self.requests.get(id).filter(|request| request.awaits_answer())?;
                 self.requests.respond(id, Answer::Failed, ending);
                 Event::ClientDisconnected(id)
             }
             DriverEvent::RequestBodyComplete(id) => {
-                self.requests.get_mut(id)?.shift_to(clock.now_ms());
+                self.requests.get_mut(id)?.shift_times_to(clock.now_ms());
                 Event::RequestBodyComplete(id)
             }
-            DriverEvent::ResponseStarted(response) => self.response_started(response)?,
-            DriverEvent::AttemptEnded(response) => self.attempt_ended(response)?,
+            DriverEvent::ResponseStarted(report) => self.on_response_started(report)?,
+            DriverEvent::AttemptEnded(report) => self.on_attempt_ended(report)?,
             DriverEvent::Timer(token) => Event::Timer(token),
             DriverEvent::Disable(id) => Event::Disable(id),
             DriverEvent::Enable(id) => Event::Enable(id),
@@ -274,43 +274,43 @@
     }
 
     /// A streamed response has begun: the request is answered with it.
-    fn response_started(&mut self, response: AttemptResponse) -> Option<Event> {
-        let AttemptResponse { id, attempt, endpoint, result, elapsed_ms } = response;
+    fn on_response_started(&mut self, report: AttemptReport) -> Option<Event> {
+        let AttemptReport { id, attempt, endpoint, result, elapsed_ms } = report;
         let reply = result.reply?;
-        self.requests.get(id).filter(|open| open.awaits_answer())?;
+        self.requests.get(id).filter(|request| request.awaits_answer())?;
         self.requests.respond(id, Answer::Served(reply), RequestEnding::Served);
         Some(Event::ResponseStarted { id, attempt, endpoint, elapsed_ms })
     }
 
     /// An attempt is over; a request that still waits is answered with its reply, if it brought one.
-    fn attempt_ended(&mut self, response: AttemptResponse) -> Option<Event> {
-        let AttemptResponse { id, attempt, endpoint, result, elapsed_ms } = response;
+    fn on_attempt_ended(&mut self, report: AttemptReport) -> Option<Event> {
+        let AttemptReport { id, attempt, endpoint, result, elapsed_ms } = report;
         let (outcome, load) = (result.outcome, result.load);
-        let open = self.requests.get_mut(id)?;
-        if !open.end_attempt(attempt, outcome) {
+        let open_request = self.requests.get_mut(id)?;
+        if !open_request.end_attempt(attempt, outcome) {
             return None;
         }
         self.counters.count(CounterKind::Attempt, outcome.name());
-        let awaits_answer = open.awaits_answer();
+        let awaits_answer = open_request.awaits_answer();
         let reply = result.reply.filter(|_| awaits_answer);
         let request_finished = !awaits_answer || reply.is_some();
         match reply {
             Some(reply) => self.requests.respond(id, Answer::Served(reply), RequestEnding::Served),
-            None => self.requests.remove_if_over(id),
+            None => self.requests.remove_if_closed(id),
         }
         Some(Event::AttemptEnded { id, attempt, endpoint, outcome, request_finished, elapsed_ms, load })
     }
 
     /// The one place that rejects: a rejection that may do harm becomes a failure.
     fn reject(&mut self, id: RequestId, retry_after_ms: f64, reason: RejectionReason) {
-        let Some(open) = self.requests.get(id) else { return };
-        match self.guard.may_reject(&open.facts()) {
+        let Some(open_request) = self.requests.get(id) else { return };
+        match self.guard.may_reject(&open_request.facts()) {
             Ok(()) => {
                 let answer = Answer::Rejected { retry_after_ms };
                 self.requests.respond(id, answer, RequestEnding::Rejected(reason));
             }
             Err(violation) => {
-                self.counters.violation(violation, open.trace.id());
+                self.counters.violation(violation, open_request.trace.id());
                 self.requests.respond(id, Answer::Failed, RequestEnding::Failed(reason));
             }
         }
--- a/src/node/driver/pending_response.rs
+++ b/src/node/driver/pending_response.rs
@@ -84,6 +84,6 @@
 impl Drop for PendingResponse {
     fn drop(&mut self) {
         let ending = if self.has_expired { RequestEnding::Expired } else { RequestEnding::ClientLeft };
-        self.driver.take(DriverEvent::ClientDisconnected(self.id, ending));
+        self.driver.handle(DriverEvent::ClientDisconnected(self.id, ending));
     }
 }
--- a/src/node/driver/request_table.rs
+++ b/src/node/driver/request_table.rs
@@ -51,7 +51,7 @@
         self.responder.is_some()
     }
 
-    fn is_over(&self) -> bool {
+    fn is_closed(&self) -> bool {
         self.responder.is_none() && self.cancel_handles.iter().all(Option::is_none)
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// The last byte of its body has come at `now_ms`: its times count from there.
-    pub fn shift_to(&mut self, now_ms: f64) {
+    pub fn shift_times_to(&mut self, now_ms: f64) {
         let delay_ms = now_ms - self.arrived_at_ms;
         self.arrived_at_ms = now_ms;
         self.deadline_ms += delay_ms;
@@ -84,10 +84,10 @@
         endpoint: EndpointId,
         location: Location,
         now_ms: f64,
-        cancel: oneshot::Sender<()>,
+        cancel_handle: oneshot::Sender<()>,
     ) {
         self.trace.sent(self.next_attempt(), endpoint);
-        self.cancel_handles.push(Some(cancel));
+        self.cancel_handles.push(Some(cancel_handle));
         self.attempts.push(AttemptRecord { location, sent_at_ms: now_ms, outcome: None });
     }
 
@@ -122,8 +122,8 @@
         self.requests.len()
     }
 
-    pub fn insert(&mut self, id: RequestId, open: OpenRequest) {
-        self.requests.insert(id, open);
+    pub fn insert(&mut self, id: RequestId, open_request: OpenRequest) {
+        self.requests.insert(id, open_request);
     }
 
     pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
@@ -136,43 +136,43 @@
 
     /// Those without a final answer.
     pub fn unanswered(&self) -> Vec<RequestId> {
-        self.requests.iter().filter(|(_, open)| open.awaits_answer()).map(|(id, _)| *id).collect()
+        self.requests.iter().filter(|(_, request)| request.awaits_answer()).map(|(id, _)| *id).collect()
     }
 
     /// Cancels an attempt: its task closes the connection and reports its end.
     pub fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
-        let open = self.requests.get_mut(&id);
-        let handle = open.and_then(|open| open.cancel_handles.get_mut(attempt as usize));
-        if let Some(cancel) = handle.and_then(Option::as_mut) {
+        let open_request = self.requests.get_mut(&id);
+        let handle = open_request.and_then(|request| request.cancel_handles.get_mut(attempt as usize));
+        if let Some(cancel_handle) = handle.and_then(Option::as_mut) {
             // A handle whose other end has gone stands for an attempt that was cancelled and has not
             // reported yet.
-            *cancel = oneshot::channel().0;
+            *cancel_handle = oneshot::channel().0;
         }
     }
 
     /// The one place in which a request gets its final answer.
     pub fn respond(&mut self, id: RequestId, answer: Answer, ending: RequestEnding) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        if let Some(responder) = open.responder.take() {
+        let Some(open_request) = self.requests.get_mut(&id) else { return };
+        if let Some(responder) = open_request.responder.take() {
             responder.respond(answer);
-            open.trace.answered(ending);
+            open_request.trace.answered(ending);
             self.counters.count(CounterKind::Answer, ending.name());
             if let RequestEnding::Rejected(reason) | RequestEnding::Failed(reason) = ending {
                 self.counters.count(CounterKind::Rejection, reason.name());
             }
         }
-        self.remove_if_over(id);
+        self.remove_if_closed(id);
     }
 
     /// Removes a request that is answered and has no attempt in flight, and logs its trace.
-    pub fn remove_if_over(&mut self, id: RequestId) {
-        if !self.requests.get(&id).is_some_and(OpenRequest::is_over) {
+    pub fn remove_if_closed(&mut self, id: RequestId) {
+        if !self.requests.get(&id).is_some_and(OpenRequest::is_closed) {
             return;
         }
-        if let Some(open) = self.requests.remove(&id)
-            && (log::all_requests() || !open.trace.went_well())
+        if let Some(open_request) = self.requests.remove(&id)
+            && (log::all_requests() || !open_request.trace.went_well())
         {
-            log::request(|| open.trace.to_string());
+            log::request(|| open_request.trace.to_string());
         }
     }
 }
--- a/src/node/snapshot/takeover.rs
+++ b/src/node/snapshot/takeover.rs
@@ -108,7 +108,7 @@
         let disabled = overrides.disabled();
         log::line(&format!("handover: {} out of service by earlier calls", disabled.len()));
         self.override_revision.set(overrides.revision);
-        disabled.into_iter().for_each(|id| driver.take(DriverEvent::Disable(id)));
+        disabled.into_iter().for_each(|id| driver.handle(DriverEvent::Disable(id)));
     }
 
     fn take_process(&self, record: &ProcessRecord, driver: &Rc<Driver>) -> bool {
@@ -118,7 +118,7 @@
         log::line(&format!("handover: from process {pid}: {endpoints} servers{newer}"));
         let now_ms = driver.clock.now_ms();
         let snapshot = record.endpoints.iter().map(|endpoint| endpoint.snapshot(now_ms)).collect();
-        driver.take(DriverEvent::SnapshotRestored(snapshot));
+        driver.handle(DriverEvent::SnapshotRestored(snapshot));
         self.predecessor.set(Some(record.process));
         self.observe_process(record.process, driver);
         is_behind
@@ -175,7 +175,7 @@
         if stored.revision > self.override_revision.get() {
             self.adopt(&stored, driver);
         }
-        let known = driver.disabled();
+        let known = driver.disabled_endpoints();
         let mut wanted = known.clone();
         let changes = if disable { wanted.insert(endpoint) } else { wanted.remove(&endpoint) };
         if !changes && stored.revision == self.override_revision.get() {
@@ -184,7 +184,7 @@
         let revision = stored.revision.max(self.override_revision.get()) + 1;
         self.store_overrides(revision, &wanted, &known)?;
         if changes {
-            driver.take(if disable {
+            driver.handle(if disable {
                 DriverEvent::Disable(endpoint)
             } else {
                 DriverEvent::Enable(endpoint)
@@ -238,10 +238,10 @@
     /// Has this process go by overrides that another one made.
     fn adopt(&self, overrides: &OperatorOverrides, driver: &Rc<Driver>) {
         self.override_revision.set(overrides.revision);
-        let known = driver.disabled();
+        let known = driver.disabled_endpoints();
         let wanted = overrides.disabled();
-        wanted.difference(&known).for_each(|id| driver.take(DriverEvent::Disable(*id)));
-        known.difference(&wanted).for_each(|id| driver.take(DriverEvent::Enable(*id)));
+        wanted.difference(&known).for_each(|id| driver.handle(DriverEvent::Disable(*id)));
+        known.difference(&wanted).for_each(|id| driver.handle(DriverEvent::Enable(*id)));
         log::line(&format!("handover: call {}: {} out of service", overrides.revision, wanted.len()));
     }
 
@@ -258,7 +258,9 @@
             self.adopt(&stored, driver);
         } else if stored.revision < revision {
             // Overrides that operators were answered for are gone from the disk.
-            if let Err(error) = self.write_overrides(revision, &driver.disabled(), Durability::Synced) {
+            if let Err(error) =
+                self.write_overrides(revision, &driver.disabled_endpoints(), Durability::Synced)
+            {
                 log::line(&format!("handover: calls not written: {error}"));
             }
         }
@@ -291,7 +293,7 @@
             None if self.is_other_running(process) => {
                 log::line(&format!("handover: process {} serves beside this one", process.pid));
                 self.coexisting.set(Some(process));
-                driver.take(DriverEvent::HandoverStarted);
+                driver.handle(DriverEvent::HandoverStarted);
             }
             Some(other) if !self.is_other_running(other) => {
                 log::line(&format!("handover: process {} has gone", other.pid));
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -206,7 +206,7 @@
         let (request_watch, watch_requests) = mpsc::unbounded_channel();
         let driver = Driver::new(balancer, guard, upstream.clone(), sockets.peers.clone(), request_watch);
         let names = Rc::new(config.names);
-        driver.take(DriverEvent::Start);
+        driver.handle(DriverEvent::Start);
         let version = Rc::new(Cell::new(report_known_list(&driver, &config.known, &names)));
         let takeover = is_shared.then(|| Takeover::new(version.clone()));
         let is_behind = takeover.as_ref().is_some_and(|takeover| take_over(takeover, &driver));
@@ -251,7 +251,7 @@
         let _ = tokio::time::timeout_at(end.into(), accepting).await;
         frontend.wind_down(end).await;
         // Better failed than lost: what is still open would be cut by the end of the process.
-        driver.fail_pending();
+        driver.fail_unanswered();
         frontend.wind_down(Instant::now() + SHUTDOWN_WRITE_TIME).await;
         driver.count_unanswered();
         log::urgent(&format!("counters: {}", driver.counters.text()));
@@ -291,7 +291,7 @@
     let known = EndpointList::parse(known, names);
     let version = known.as_ref().and_then(EndpointList::base_version);
     let endpoints = known.map_or_else(Vec::new, |known| known.endpoints);
-    driver.take(DriverEvent::EndpointsChanged { update: WatchUpdate::CachedSnapshot, endpoints });
+    driver.handle(DriverEvent::EndpointsChanged { update: WatchUpdate::CachedSnapshot, endpoints });
     version
 }
 
@@ -307,7 +307,7 @@
 async fn listen_to_peers(peers: Rc<PeerSocket>, driver: Rc<Driver>) {
     loop {
         let message = peers.receive().await;
-        driver.take(DriverEvent::PeerMessage { from: message.from, bytes: message.bytes });
+        driver.handle(DriverEvent::PeerMessage { from: message.from, bytes: message.bytes });
     }
 }
 
