--- a/src/node/driver/attempt.rs
+++ b/src/node/driver/attempt.rs
@@ -1,4 +1,9 @@
-//! Sends the attempts that the decisions order, and reports how each ended.
+//! Sends the attempts that the balancer decides on, and reports how each of them ends.
+//!
+//! The state may change between the decision and the first byte of the attempt, because connecting takes
+//! time. So the driver checks an attempt against the invariants before it connects, and checks once it has a
+//! connection that the attempt may still begin. An [`AttemptReporter`] guarantees that the balancer learns
+//! the end of each attempt, whatever happens to the task that sends it.
 
 use super::event::AttemptReport;
 use super::{Driver, DriverEvent, DriverState};
@@ -15,32 +20,38 @@
 use tokio::task::spawn_local;
 use wheelpath::policy::{AttemptOutcome, EndpointId, RequestId};
 
-/// Upper bound for the times of an order, which may be infinite, in milliseconds.
+/// Upper bound of the times in [`AttemptParameters`], in milliseconds. The balancer may set an infinite time.
 const MAX_SPAN_MS: f64 = 1e9;
 
-/// An attempt as the decisions want it.
+/// The parameters of an attempt, from [`Action::SendAttempt`](wheelpath::policy::Action::SendAttempt).
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptParameters {
     pub id: RequestId,
     pub endpoint: EndpointId,
+    /// Timeout of the attempt, in milliseconds.
     pub timeout_ms: f64,
+    /// Time within which the first byte may be sent, in milliseconds; may be infinite.
     pub begin_within_ms: f64,
 }
 
-/// Reports the end of an attempt exactly once, when dropped, even if its task ends unexpectedly.
+/// A guard that reports the end of one attempt when it is dropped, so exactly once, even if the task of the
+/// attempt ends unexpectedly.
 struct AttemptReporter {
     driver: Rc<Driver>,
     id: RequestId,
+    /// Number of the attempt within its request, from 0.
     attempt: u32,
     endpoint: EndpointId,
-    /// From when on the attempt's time counts.
+    /// When the measured duration of the attempt starts: when it was decided on, or when the request's body
+    /// was complete if that was later.
     timing_start: Instant,
+    /// The result to report; `None` until it is known.
     result: Option<AttemptResult>,
 }
 
 impl AttemptReporter {
     fn report(&mut self) -> AttemptReport {
-        // An attempt that ended without a result may have run.
+        // If the task ended without a result, the endpoint may have executed the request.
         let result = self.result.take().unwrap_or_else(|| AttemptOutcome::ConnectionReset.into());
         AttemptReport {
             id: self.id,
@@ -60,7 +71,8 @@
 }
 
 impl Driver {
-    /// The one place in which an attempt begins. One that may not is reported as not sent.
+    /// Starts an attempt in a task of its own. All attempts start here. An attempt that an invariant forbids,
+    /// or whose body cannot be sent again, is reported as not sent.
     pub(super) fn send_attempt(
         self: &Rc<Self>,
         state: &mut DriverState,
@@ -102,7 +114,7 @@
         spawn_local(run_attempt(attempt, reporter, cancellation));
     }
 
-    /// Keeps a connection unless its endpoint has drained, gone or moved meanwhile.
+    /// Returns a connection to the pool, unless its endpoint has left service or changed its address since.
     fn return_connection_to_pool(
         &self,
         endpoint: EndpointId,
@@ -116,7 +128,7 @@
         }
     }
 
-    /// Checks again right before the first byte of an attempt is sent, because connecting took time.
+    /// Checks that an attempt may still begin. The upstream calls this right before it sends the first byte.
     fn check_before_send(&self, id: RequestId, attempt: &Attempt) -> Result<(), WithheldReason> {
         let mut state = self.state.borrow_mut();
         let is_routable = state.is_routable(attempt.endpoint);
@@ -140,9 +152,9 @@
     }
 }
 
-/// Carries an attempt out until it ends or is cancelled. The task that runs this ends by itself, at the
-/// latest with the attempt's timeout and, for a streamed response, with that; the end of the process ends
-/// it too.
+/// Runs an attempt until it ends or is cancelled, and returns its connection to the pool. The task that runs
+/// this function ends at the attempt's timeout at the latest, at the end of the response if that is streamed,
+/// or with the process.
 async fn run_attempt(
     attempt: Attempt,
     mut reporter: AttemptReporter,
@@ -166,8 +178,8 @@
     driver.return_connection_to_pool(attempt.endpoint, attempt.address, connection);
 }
 
-/// Waits for the end of an attempt or the beginning of a streamed response, while the request's body goes
-/// on.
+/// Sends an attempt, and waits until it ends or a streamed response starts. Reports to the driver when the
+/// request's streamed body is complete.
 async fn drive_attempt(
     driver: &Rc<Driver>,
     attempt: &Attempt,
@@ -200,6 +212,10 @@
 
 fn log_broken_stream(endpoint: EndpointId, outcome: AttemptOutcome) {
     if !matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::Cancelled) {
-        log::line(&format!("{:016x} broke off an answer that had begun: {}", endpoint.0, outcome.name()));
+        log::line(&format!(
+            "endpoint {:016x} did not complete a response that had started: {}",
+            endpoint.0,
+            outcome.name()
+        ));
     }
 }
