--- a/src/node/driver/endpoint_table.rs
+++ b/src/node/driver/endpoint_table.rs
@@ -1,4 +1,8 @@
-//! Where endpoints listen, and since when: what the decisions do not need to know of them.
+//! Stores the addresses and start times of the endpoints that discovery reports.
+//!
+//! The balancer identifies endpoints by their ids and needs no addresses. Discovery states start times on the
+//! wall clock, but the balancer works with its own monotonic clock. This table has the addresses, converts
+//! the start times, and detects restarts: connections to a process that has restarted are of no use.
 
 use crate::system::clock::Clock;
 use crate::upstream::Upstream;
@@ -9,22 +13,24 @@
 /// One endpoint as discovery reports it.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveredEndpoint {
-    /// What the decisions need, but for the time of its start.
+    /// The update for the balancer. [`EndpointTable::apply`] sets its `started_at_ms`.
     pub update: EndpointUpdate,
-    /// When it last started, by the wall clock in milliseconds since 1970; 0 for long ago.
+    /// When the endpoint last started, in milliseconds since 1970 on the wall clock; 0 if that was long ago
+    /// or is not known.
     pub boot_ms: f64,
-    /// Where it listens; one that was removed need not say.
+    /// Where the endpoint listens; `None` if a draining or removed endpoint has no valid address.
     pub address: Option<SocketAddr>,
 }
 
-/// An endpoint that is active, or has been since the last report.
+/// An endpoint that discovery reports as active.
 struct KnownEndpoint {
     address: SocketAddr,
+    /// `false` only while an update is applied: inactive endpoints are then removed.
     is_active: bool,
     location: Location,
-    /// When it last started as the list states it, by which a further start is recognized.
+    /// When the endpoint last started, as discovery stated it. Another value means that it has restarted.
     boot_ms: f64,
-    /// When it last started, in milliseconds on the decisions' clock.
+    /// When the endpoint last started, in milliseconds on the balancer's clock.
     started_at_ms: f64,
 }
 
@@ -39,56 +45,60 @@
         }
     }
 
-    /// When it started anew, by what the list now states. That is after its last start: where the clocks
-    /// say otherwise they cannot be relied on, and it counts as started just now.
+    /// Returns when the endpoint restarted, in milliseconds on the balancer's clock. A restart comes after
+    /// the previous start; if the converted time does not, the clocks are not reliable, and the endpoint
+    /// counts as started now.
     fn restarted_at_ms(&self, boot_ms: f64, clock: &Clock) -> f64 {
         let at_ms = clock.wall_to_monotonic(boot_ms);
         if at_ms > self.started_at_ms { at_ms } else { clock.now_ms() }
     }
 }
 
-/// What a report says of an endpoint's start.
+/// The start of an endpoint as an update reports it.
 struct ReportedStart {
-    at_ms: f64,
+    /// When the endpoint last started, in milliseconds on the balancer's clock; 0 if not known.
+    started_at_ms: f64,
+    /// Whether this is another start than the one known before.
     has_restarted: bool,
 }
 
-/// The endpoints that can be sent to, and the names of all that are listed.
+/// The endpoints of the current endpoint list.
 #[derive(Default)]
 pub(super) struct EndpointTable {
+    /// The active endpoints.
     active: HashMap<EndpointId, KnownEndpoint>,
-    /// All that the list names, active or draining.
+    /// The active and the draining endpoints.
     listed: HashSet<EndpointId>,
 }
 
 impl EndpointTable {
-    /// The endpoints that can be sent to, as far as discovery goes.
+    /// Returns the endpoints that discovery reports as active. The operators may have disabled some of them.
     pub fn active_ids(&self) -> impl Iterator<Item = EndpointId> {
         self.active.keys().copied()
     }
 
-    /// Whether discovery has an endpoint as active.
+    /// Returns `true` if discovery reports the endpoint as active.
     pub fn is_active(&self, id: EndpointId) -> bool {
         self.active.get(&id).is_some_and(|endpoint| endpoint.is_active)
     }
 
-    /// Whether the list names an endpoint.
+    /// Returns `true` if discovery reports the endpoint as active or draining.
     pub fn is_listed(&self, id: EndpointId) -> bool {
         self.listed.contains(&id)
     }
 
-    /// Where an endpoint listens.
+    /// Returns where an endpoint listens, or `None` if it is not in `active`.
     pub fn address(&self, id: EndpointId) -> Option<SocketAddr> {
         self.active.get(&id).map(|endpoint| endpoint.address)
     }
 
-    /// Zone and cell of an endpoint.
+    /// Returns the zone and the cell of an endpoint, or the default if it is not in `active`.
     pub fn location(&self, id: EndpointId) -> Location {
         self.active.get(&id).map_or_else(Location::default, |endpoint| endpoint.location)
     }
 
-    /// Takes in a report of discovery, closes idle connections to endpoints that have restarted, moved or
-    /// left, and says it in the decisions' terms.
+    /// Applies an update from discovery. Closes idle connections to endpoints that have restarted, changed
+    /// their address or are no longer active. Returns the update for the balancer.
     pub fn apply(
         &mut self,
         update: WatchUpdate,
@@ -105,7 +115,7 @@
         updates
     }
 
-    /// A full list follows: an endpoint that it leaves out has been removed.
+    /// Marks all endpoints as removed before a full list is applied, which adds those that it has.
     fn mark_all_removed(&mut self) {
         self.active.values_mut().for_each(|endpoint| endpoint.is_active = false);
         self.listed.clear();
@@ -120,7 +130,7 @@
         let DiscoveredEndpoint { mut update, boot_ms, address } = discovered;
         let id = update.endpoint;
         let start = self.reported_start(id, boot_ms, clock);
-        update.started_at_ms = start.at_ms;
+        update.started_at_ms = start.started_at_ms;
         if update.state == EndpointState::Removed {
             self.listed.remove(&id);
         } else {
@@ -128,7 +138,7 @@
         }
         let known_address = self.address(id);
         if let Some(address) = address.or(known_address) {
-            // What was connected to the old process or the old address is of no use.
+            // Connections to the old process or the old address are of no use.
             if known_address.is_some_and(|known| known != address || start.has_restarted) {
                 upstream.close_idle(id);
             }
@@ -137,17 +147,18 @@
         update
     }
 
-    /// Another start than the one known is a restart.
+    /// Returns the start of an endpoint that reports `boot_ms`. It has restarted if `boot_ms` is known and
+    /// not the value of the previous update, which includes the first start of a new endpoint.
     fn reported_start(&self, id: EndpointId, boot_ms: f64, clock: &Clock) -> ReportedStart {
         let known = self.active.get(&id);
         let has_restarted = boot_ms > 0.0 && known.is_none_or(|known| known.boot_ms != boot_ms);
-        let at_ms = match known {
+        let started_at_ms = match known {
             Some(known) if has_restarted => known.restarted_at_ms(boot_ms, clock),
             Some(known) => known.started_at_ms,
             None if has_restarted => clock.wall_to_monotonic(boot_ms),
             None => 0.0,
         };
-        ReportedStart { at_ms, has_restarted }
+        ReportedStart { started_at_ms, has_restarted }
     }
 
     fn remove_inactive(&mut self, upstream: &Upstream) {
