--- a/src/node/driver/event.rs
+++ b/src/node/driver/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to a node, as its sockets, timers and tasks report it.
+//! Defines the events that the sockets, timers and tasks of a node report to the driver.
 
 use super::endpoint_table::DiscoveredEndpoint;
 use super::pending_response::Responder;
@@ -7,63 +7,65 @@
 use std::rc::Rc;
 use wheelpath::policy::{EndpointId, EndpointSnapshot, Request, RequestId, WatchUpdate};
 
-/// What an attempt brought.
+/// The result of an attempt, or of a streamed response so far.
 pub struct AttemptReport {
-    /// The request.
+    /// Identity of the request.
     pub id: RequestId,
-    /// Number of the attempt.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
-    /// The endpoint that it went to.
+    /// The endpoint that the attempt was for.
     pub endpoint: EndpointId,
-    /// How it ended, or what has come so far.
+    /// The outcome, with the response and the load report of the endpoint if it sent them.
     pub result: AttemptResult,
-    /// Time since it was sent, in milliseconds.
+    /// Time since the attempt was decided on, or since the request's body was complete if that was later, in
+    /// milliseconds.
     pub elapsed_ms: f64,
 }
 
-/// All that can happen to a node.
+/// An event that the driver handles.
 pub enum DriverEvent {
-    /// The node is up.
+    /// The process has started. This is the first event.
     Start,
-    /// Discovery reported endpoints, or could not.
+    /// A call to discovery ended, or the node starts with a cached list.
     EndpointsChanged {
-        /// What `endpoints` contains.
+        /// Whether `endpoints` is a full list or has only changes, and whether the call failed.
         update: WatchUpdate,
-        /// The endpoints reported.
+        /// The reported endpoints; empty if the call failed.
         endpoints: Vec<DiscoveredEndpoint>,
     },
-    /// A client's request came.
+    /// A client's request has arrived.
     RequestArrived {
-        /// What the decisions see of it.
+        /// The properties of the request that the balancer needs.
         request: Request,
-        /// What goes on to an endpoint.
+        /// The HTTP request that is sent to endpoints.
         proxied: Rc<ProxiedRequest>,
-        /// Where its answer goes.
+        /// Sends the answer to the client's connection.
         responder: Responder,
     },
-    /// The client has gone or needs nothing more, and how the request ends by that if it has no answer yet.
+    /// The client does not wait for the answer any more, or already has it. A request without an answer ends
+    /// with the given ending.
     ClientDisconnected(RequestId, RequestEnding),
-    /// The last byte of a request's body has come and gone on.
+    /// The last byte of a request's streamed body has been sent to the endpoint.
     RequestBodyComplete(RequestId),
-    /// A streamed response has begun.
+    /// A streamed response has started.
     ResponseStarted(AttemptReport),
-    /// An attempt is over.
+    /// An attempt has ended.
     AttemptEnded(AttemptReport),
-    /// A timer is due.
+    /// The timer with this token is due.
     Timer(u64),
-    /// The operators take an endpoint out of service.
+    /// The operators disabled an endpoint, which takes it out of service.
     Disable(EndpointId),
-    /// The operators put it back.
+    /// The operators enabled an endpoint that they had disabled.
     Enable(EndpointId),
-    /// What the process before this one knew of endpoints.
+    /// The previous process left a snapshot of its endpoints' learned state.
     SnapshotRestored(Vec<EndpointSnapshot>),
-    /// Another process of this node serves alongside this one from now on.
+    /// From now on another process of this node serves clients in parallel to this one.
     HandoverStarted,
-    /// Another node's message.
+    /// A message from another node has arrived.
     PeerMessage {
-        /// Number of the sender.
+        /// Index of the sending node.
         from: u32,
-        /// What it said.
+        /// The message, of at most 256 bytes.
         bytes: Vec<u8>,
     },
 }
