--- a/src/node/discovery/client.rs
+++ b/src/node/discovery/client.rs
@@ -1,12 +1,12 @@
 //! Makes HTTP calls to discovery.
 //!
-//! Each call asks which endpoints have changed after a version of the list. With `wait_ms` above 0 the call
-//! is a long poll, here called a watch: discovery responds at the next update, or after that time.
+//! Each call asks which endpoints have changed after a version of the list. With `wait_ms` above 0 the
+//! call is a long poll, here called a watch: discovery responds at the next update, or after that time.
 //!
 //! A service or an agent may stop responding while its connections stay open, and the caller cannot tell
 //! such a watch from one without an update. So [`DiscoveryClient`] makes further calls in parallel to an
-//! open one. In push mode it repeats a call that takes too long and uses the first response. In poll mode it
-//! checks at long intervals, by calls that do not wait, whether the open watch has missed an update.
+//! open one. In push mode it repeats a call that takes too long and uses the first response. In poll mode
+//! it checks at long intervals, by calls that do not wait, whether the open watch has missed an update.
 
 use super::endpoint_list::EndpointList;
 use crate::system::connect::ConnectError;
@@ -28,24 +28,24 @@
 /// For how long a watch waits for an update in poll mode: the longest wait that the protocol allows. The
 /// node is expected to know a change 2 s after the end of this wait, even if the watch missed the change.
 const POLL_WAIT: Duration = Duration::from_secs(60);
-/// Timeout of a response in poll mode, beyond the wait. The service may queue a call, and fails it after 2 s
-/// in the queue. With a longer timeout, the node would be expected to know a change that an unanswered call
-/// missed before the response to the next call arrives.
+/// Timeout of a response in poll mode, beyond the wait. The service may queue a call, and fails it after
+/// 2 s in the queue. With a longer timeout, the node would be expected to know a change that an
+/// unanswered call missed before the response to the next call arrives.
 const POLL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// Timeout of a connection attempt in poll mode.
 const POLL_CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// For how long a watch waits for an update in push mode. Calls to an agent cost nothing, and with a short
-/// wait the node soon detects an agent that has stopped responding. Once the agent responds again, the node
-/// is expected to know at once the changes that the agent then has.
+/// For how long a watch waits for an update in push mode. Calls to an agent cost nothing, and with a
+/// short wait the node soon detects an agent that has stopped responding. Once the agent responds again,
+/// the node is expected to know at once the changes that the agent then has.
 const PUSH_WAIT: Duration = Duration::from_millis(150);
-/// Timeout of a response in push mode, beyond the wait. A healthy agent responds at once; the timeout allows
-/// for a slow one.
+/// Timeout of a response in push mode, beyond the wait. A healthy agent responds at once; the timeout
+/// allows for a slow one.
 const PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Timeout of a connection attempt in push mode. An agent that does not accept a connection within this
 /// time is down.
 const PUSH_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time after the wait at which a call to an agent that has not responded is first repeated in parallel. An
-/// agent may never respond to calls that it received while it was unresponsive.
+/// Time after the wait at which a call to an agent that has not responded is first repeated in parallel.
+/// An agent may never respond to calls that it received while it was unresponsive.
 const PUSH_REPEAT_AFTER: Duration = Duration::from_millis(100);
 /// Time between two repeats of a call to an agent that has not responded.
 const PUSH_REPEAT_INTERVAL: Duration = Duration::from_millis(200);
@@ -107,8 +107,8 @@
 /// A kind of call to discovery.
 #[derive(Clone, Copy, Debug)]
 pub enum CallKind {
-    /// Requests the changes up to now, without waiting for an update. Without a version, the call requests
-    /// the full list.
+    /// Requests the changes up to now, without waiting for an update. Without a version, the call
+    /// requests the full list.
     CatchUp,
     /// Waits for the next update. Without a version, the call requests the full list and does not wait.
     Watch {
@@ -212,8 +212,8 @@
         Ok(outcome)
     }
 
-    /// Requests the list. In push mode, repeats the call in parallel if the agent does not respond soon, and
-    /// returns the first list. Fails if all calls that are in progress have failed.
+    /// Requests the list. In push mode, repeats the call in parallel if the agent does not respond soon,
+    /// and returns the first list. Fails if all calls that are in progress have failed.
     async fn fetch_list(
         &self,
         address: SocketAddr,
@@ -249,9 +249,9 @@
         }
     }
 
-    /// Checks for updates in parallel to a watch. Without the checks, the node would not detect before the
-    /// end of the watch that the watch has missed a change, or that the service has restarted its version
-    /// numbers.
+    /// Checks for updates in parallel to a watch. Without the checks, the node would not detect before
+    /// the end of the watch that the watch has missed a change, or that the service has restarted its
+    /// version numbers.
     async fn check_during_watch(
         &self,
         address: SocketAddr,
@@ -270,8 +270,9 @@
         CallOutcome::WatchExpired
     }
 
-    /// Makes one check, and repeats it after a short pause until it succeeds. If a check fails, the watch is
-    /// still open but may not get a response either, so the next check must not wait for a whole interval.
+    /// Makes one check, and repeats it after a short pause until it succeeds. If a check fails, the watch
+    /// is still open but may not get a response either, so the next check must not wait for a whole
+    /// interval.
     async fn check_until_success(
         &self,
         address: SocketAddr,
@@ -323,8 +324,8 @@
     }
 }
 
-/// Waits until one of the calls completes, and removes it. If several are complete, takes the first in the
-/// vector.
+/// Waits until one of the calls completes, and removes it. If several are complete, takes the first in
+/// the vector.
 async fn first_completed(calls: &mut Vec<AgentCall<'_>>) -> Result<AgentResponse, DiscoveryError> {
     poll_fn(|cx| {
         let completed =
--- a/src/node/discovery/endpoint_list.rs
+++ b/src/node/discovery/endpoint_list.rs
@@ -1,9 +1,9 @@
 //! Parses endpoint lists in the JSON format of discovery.
 //!
-//! A list has a version (`rev`), a flag for a full list (`all`) and its entries (`targets`). A list that is
-//! not full has only the endpoints that have changed. One invalid entry must not hide the valid ones, so the
-//! parser skips it. An endpoint that leaves service must not stay in use because of an invalid field, so its
-//! entry needs only a name and a state.
+//! A list has a version (`rev`), a flag for a full list (`all`) and its entries (`targets`). A list that
+//! is not full has only the endpoints that have changed. One invalid entry must not hide the valid ones,
+//! so the parser skips it. An endpoint that leaves service must not stay in use because of an invalid
+//! field, so its entry needs only a name and a state.
 
 use crate::driver::DiscoveredEndpoint;
 use crate::observability::log;
@@ -32,8 +32,8 @@
 }
 
 impl EndpointList {
-    /// Parses a list. Logs and skips invalid entries. Returns `None` if `json` is not a list, or if it has
-    /// entries and none of them is valid.
+    /// Parses a list. Logs and skips invalid entries. Returns `None` if `json` is not a list, or if it
+    /// has entries and none of them is valid.
     pub fn parse(json: &Value, names: &NameIndex) -> Option<EndpointList> {
         let version = json.get("rev")?.as_u64()?;
         let is_complete = json.get("all").and_then(Value::as_bool).unwrap_or(false);
@@ -53,14 +53,15 @@
         is_usable.then_some(EndpointList { version, is_complete, endpoints, has_invalid_entries })
     }
 
-    /// Returns the version of the list if the node needs only the changes after it. Returns `None` if it has
-    /// to request the full list, because this one is partial or empty, or has invalid entries.
+    /// Returns the version of the list if the node needs only the changes after it. Returns `None` if it
+    /// has to request the full list, because this one is partial or empty, or has invalid entries.
     pub fn base_version(&self) -> Option<u64> {
         let is_base = self.is_complete && !self.has_invalid_entries && !self.endpoints.is_empty();
         is_base.then_some(self.version)
     }
 
-    /// Returns `true` if the list has another version than `known_version`, is a full list, or has entries.
+    /// Returns `true` if the list has another version than `known_version`, is a full list, or has
+    /// entries.
     pub fn has_news(&self, known_version: u64) -> bool {
         self.version != known_version || self.is_complete || !self.endpoints.is_empty()
     }
@@ -70,8 +71,8 @@
         if self.is_complete { WatchUpdate::Snapshot } else { WatchUpdate::Delta }
     }
 
-    /// Logs the version and the number of entries by state, unless the list is empty. `elapsed` is the time
-    /// since the call that returned the list began.
+    /// Logs the version and the number of entries by state, unless the list is empty. `elapsed` is the
+    /// time since the call that returned the list began.
     pub fn log(&self, elapsed: Duration) {
         if self.endpoints.is_empty() {
             return;
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -1,8 +1,9 @@
-//! Keeps the endpoint list up to date: it starts with the list of the configuration, then watches discovery.
+//! Keeps the endpoint list up to date: it starts with the list of the configuration, then watches
+//! discovery.
 //!
-//! Discovery has two modes. In push mode, an agent near the node has the list, and calls to it cost nothing.
-//! In poll mode, one service has the list for all nodes; it queues calls, and each call adds to its load. In
-//! both modes a call requests the changes after a version, and may wait for an update.
+//! Discovery has two modes. In push mode, an agent near the node has the list, and calls to it cost
+//! nothing. In poll mode, one service has the list for all nodes; it queues calls, and each call adds to
+//! its load. In both modes a call requests the changes after a version, and may wait for an update.
 //!
 //! The node cannot tell a call that will never get a response from one without an update, so it makes
 //! further calls in parallel.
--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -10,8 +10,8 @@
 //! | `CatchingUp`, `Watching` | a failed call that this module repeats | `CatchingUp` |
 //! | `CatchingUp`, `Watching` | a failed call that the balancer schedules again | `Paused` |
 //!
-//! Only poll mode pauses. There, all nodes call one service, and their calls must not overload it after an
-//! outage. So the balancer schedules the calls that follow a failure.
+//! Only poll mode pauses. There, all nodes call one service, and their calls must not overload it after
+//! an outage. So the balancer schedules the calls that follow a failure.
 
 use super::client::{CallKind, CallOutcome, DiscoveryClient, DiscoveryError};
 use super::endpoint_list::EndpointList;
@@ -27,22 +27,23 @@
 use wheelpath::policy::{DiscoveryMode, WatchUpdate};
 use wheelpath::settings_file::NameIndex;
 
-/// Longest time between two checks, which are calls in parallel to a watch without updates. Even if one call
-/// at each check gets no response, the next one gets its response before the node is expected to know a
-/// change. The number of calls to the service is about that of watches of this length.
+/// Longest time between two checks, which are calls in parallel to a watch without updates. Even if one
+/// call at each check gets no response, the next one gets its response before the node is expected to
+/// know a change. The number of calls to the service is about that of watches of this length.
 const CHECK_INTERVAL: Duration = Duration::from_secs(18);
-/// Part of [`CHECK_INTERVAL`] that is random. Nodes that received the same update at the same time then do
-/// not make their next checks at the same time.
+/// Part of [`CHECK_INTERVAL`] that is random. Nodes that received the same update at the same time then
+/// do not make their next checks at the same time.
 const CHECK_JITTER: f64 = 0.25;
-/// Time after a change of the address within which the node is expected to know the list of the new address.
+/// Time after a change of the address within which the node is expected to know the list of the new
+/// address.
 const ADDRESS_CHANGE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Longest pause before a failed call is repeated during [`ADDRESS_CHANGE_TIMEOUT`], which is too short for
-/// the pauses that the balancer schedules.
+/// Longest pause before a failed call is repeated during [`ADDRESS_CHANGE_TIMEOUT`], which is too short
+/// for the pauses that the balancer schedules.
 const ADDRESS_CHANGE_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Time after which a starting process is ready in poll mode even if discovery has not responded. A process
-/// waits for the first response because it may be expected to know at once the changes made while it was
-/// down. The time covers the random delay of the first call and the wait in the service's queue. The wait is
-/// limited so that an outage of discovery does not cause an outage of the nodes.
+/// Time after which a starting process is ready in poll mode even if discovery has not responded. A
+/// process waits for the first response because it may be expected to know at once the changes made while
+/// it was down. The time covers the random delay of the first call and the wait in the service's queue.
+/// The wait is limited so that an outage of discovery does not cause an outage of the nodes.
 const POLL_START_TIMEOUT: Duration = Duration::from_millis(4_500);
 /// Time after which a starting process is ready in push mode even if discovery has not responded. It is
 /// shorter than [`POLL_START_TIMEOUT`] because the agent is near the node and has no queue.
@@ -90,8 +91,9 @@
     /// Receives `true` when the balancer starts the watch and `false` when it stops the watch.
     pub watch_requests: mpsc::UnboundedReceiver<bool>,
     /// Version of the list that the node has; `None` if it has to request the full list. The state file
-    /// stores this version for the next process. The first call requests only the changes after it: a full
-    /// list costs the service one line for each endpoint, and after an outage all nodes start at once.
+    /// stores this version for the next process. The first call requests only the changes after it: a
+    /// full list costs the service one line for each endpoint, and after an outage all nodes start at
+    /// once.
     pub version: Rc<Cell<Option<u64>>>,
     /// Whether the previous process knew a newer list than this one started with. The first call is then
     /// made at once, and not when the balancer starts the watch.
@@ -140,8 +142,8 @@
         }
     }
 
-    /// Makes calls and reports their results to the driver. Returns only when the channel of watch requests
-    /// is closed.
+    /// Makes calls and reports their results to the driver. Returns only when the channel of watch
+    /// requests is closed.
     pub async fn run(mut self, driver: Rc<Driver>) {
         spawn_local(mark_list_usable_after_timeout(self.mode, driver.clone()));
         loop {
@@ -201,8 +203,8 @@
         self.address_change_deadline = Instant::now() + ADDRESS_CHANGE_TIMEOUT;
     }
 
-    /// Waits for a watch request or a change of the address. Returns `false` if the channel of watch requests
-    /// is closed.
+    /// Waits for a watch request or a change of the address. Returns `false` if the channel of watch
+    /// requests is closed.
     async fn wait_while_paused(&mut self) -> bool {
         tokio::select! {
             request = self.watch_requests.recv() => match request {
@@ -259,8 +261,8 @@
         }
     }
 
-    /// Handles a failed call. The node may be expected to know soon the changes that the call missed, so the
-    /// next call does not wait for an update.
+    /// Handles a failed call. The node may be expected to know soon the changes that the call missed, so
+    /// the next call does not wait for an update.
     async fn on_failure(&mut self, error: &DiscoveryError, started_at: Instant, driver: &Rc<Driver>) {
         self.client.disconnect();
         self.state = WatchState::CatchingUp;
--- a/src/node/driver/attempt.rs
+++ b/src/node/driver/attempt.rs
@@ -1,9 +1,9 @@
 //! Sends the attempts that the balancer decides on, and reports how each of them ends.
 //!
 //! The state may change between the decision and the first byte of the attempt, because connecting takes
-//! time. So the driver checks an attempt against the invariants before it connects, and checks once it has a
-//! connection that the attempt may still begin. An [`AttemptReporter`] guarantees that the balancer learns
-//! the end of each attempt, whatever happens to the task that sends it.
+//! time. So the driver checks an attempt against the invariants before it connects, and checks once it
+//! has a connection that the attempt may still begin. An [`AttemptReporter`] guarantees that the balancer
+//! learns the end of each attempt, whatever happens to the task that sends it.
 
 use super::event::AttemptReport;
 use super::{Driver, DriverEvent, DriverState};
@@ -20,7 +20,8 @@
 use tokio::task::spawn_local;
 use wheelpath::policy::{AttemptOutcome, EndpointId, RequestId};
 
-/// Upper bound of the times in [`AttemptParameters`], in milliseconds. The balancer may set an infinite time.
+/// Upper bound of the times in [`AttemptParameters`], in milliseconds. The balancer may set an infinite
+/// time.
 const MAX_SPAN_MS: f64 = 1e9;
 
 /// The parameters of an attempt, from [`Action::SendAttempt`](wheelpath::policy::Action::SendAttempt).
@@ -34,16 +35,16 @@
     pub begin_within_ms: f64,
 }
 
-/// A guard that reports the end of one attempt when it is dropped, so exactly once, even if the task of the
-/// attempt ends unexpectedly.
+/// A guard that reports the end of one attempt when it is dropped, so exactly once, even if the task of
+/// the attempt ends unexpectedly.
 struct AttemptReporter {
     driver: Rc<Driver>,
     id: RequestId,
     /// Number of the attempt within its request, from 0.
     attempt: u32,
     endpoint: EndpointId,
-    /// When the measured duration of the attempt starts: when it was decided on, or when the request's body
-    /// was complete if that was later.
+    /// When the measured duration of the attempt starts: when it was decided on, or when the request's
+    /// body was complete if that was later.
     timing_start: Instant,
     /// The result to report; `None` until it is known.
     result: Option<AttemptResult>,
@@ -71,8 +72,8 @@
 }
 
 impl Driver {
-    /// Starts an attempt in a task of its own. All attempts start here. An attempt that an invariant forbids,
-    /// or whose body cannot be sent again, is reported as not sent.
+    /// Starts an attempt in a task of its own. All attempts start here. An attempt that an invariant
+    /// forbids, or whose body cannot be sent again, is reported as not sent.
     pub(super) fn send_attempt(
         self: &Rc<Self>,
         state: &mut DriverState,
@@ -114,7 +115,8 @@
         spawn_local(run_attempt(attempt, reporter, cancellation));
     }
 
-    /// Returns a connection to the pool, unless its endpoint has left service or changed its address since.
+    /// Returns a connection to the pool, unless its endpoint has left service or changed its address
+    /// since.
     fn return_connection_to_pool(
         &self,
         endpoint: EndpointId,
@@ -128,7 +130,8 @@
         }
     }
 
-    /// Checks that an attempt may still begin. The upstream calls this right before it sends the first byte.
+    /// Checks that an attempt may still begin. The upstream calls this right before it sends the first
+    /// byte.
     fn check_before_send(&self, id: RequestId, attempt: &Attempt) -> Result<(), WithheldReason> {
         let mut state = self.state.borrow_mut();
         let is_routable = state.is_routable(attempt.endpoint);
@@ -152,9 +155,9 @@
     }
 }
 
-/// Runs an attempt until it ends or is cancelled, and returns its connection to the pool. The task that runs
-/// this function ends at the attempt's timeout at the latest, at the end of the response if that is streamed,
-/// or with the process.
+/// Runs an attempt until it ends or is cancelled, and returns its connection to the pool. The task that
+/// runs this function ends at the attempt's timeout at the latest, at the end of the response if that is
+/// streamed, or with the process.
 async fn run_attempt(
     attempt: Attempt,
     mut reporter: AttemptReporter,
@@ -178,8 +181,8 @@
     driver.return_connection_to_pool(attempt.endpoint, attempt.address, connection);
 }
 
-/// Sends an attempt, and waits until it ends or a streamed response starts. Reports to the driver when the
-/// request's streamed body is complete.
+/// Sends an attempt, and waits until it ends or a streamed response starts. Reports to the driver when
+/// the request's streamed body is complete.
 async fn drive_attempt(
     driver: &Rc<Driver>,
     attempt: &Attempt,
--- a/src/node/driver/endpoint_table.rs
+++ b/src/node/driver/endpoint_table.rs
@@ -1,8 +1,9 @@
 //! Stores the addresses and start times of the endpoints that discovery reports.
 //!
-//! The balancer identifies endpoints by their ids and needs no addresses. Discovery states start times on the
-//! wall clock, but the balancer works with its own monotonic clock. This table has the addresses, converts
-//! the start times, and detects restarts: connections to a process that has restarted are of no use.
+//! The balancer identifies endpoints by their ids and needs no addresses. Discovery states start times on
+//! the wall clock, but the balancer works with its own monotonic clock. This table has the addresses,
+//! converts the start times, and detects restarts: connections to a process that has restarted are of no
+//! use.
 
 use crate::system::clock::Clock;
 use crate::upstream::Upstream;
@@ -15,8 +16,8 @@
 pub struct DiscoveredEndpoint {
     /// The update for the balancer. [`EndpointTable::apply`] sets its `started_at_ms`.
     pub update: EndpointUpdate,
-    /// When the endpoint last started, in milliseconds since 1970 on the wall clock; 0 if that was long ago
-    /// or is not known.
+    /// When the endpoint last started, in milliseconds since 1970 on the wall clock; 0 if that was long
+    /// ago or is not known.
     pub boot_ms: f64,
     /// Where the endpoint listens; `None` if a draining or removed endpoint has no valid address.
     pub address: Option<SocketAddr>,
@@ -45,9 +46,9 @@
         }
     }
 
-    /// Returns when the endpoint restarted, in milliseconds on the balancer's clock. A restart comes after
-    /// the previous start; if the converted time does not, the clocks are not reliable, and the endpoint
-    /// counts as started now.
+    /// Returns when the endpoint restarted, in milliseconds on the balancer's clock. A restart comes
+    /// after the previous start; if the converted time does not, the clocks are not reliable, and the
+    /// endpoint counts as started now.
     fn restarted_at_ms(&self, boot_ms: f64, clock: &Clock) -> f64 {
         let at_ms = clock.wall_to_monotonic(boot_ms);
         if at_ms > self.started_at_ms { at_ms } else { clock.now_ms() }
@@ -72,7 +73,8 @@
 }
 
 impl EndpointTable {
-    /// Returns the endpoints that discovery reports as active. The operators may have disabled some of them.
+    /// Returns the endpoints that discovery reports as active. The operators may have disabled some of
+    /// them.
     pub fn active_ids(&self) -> impl Iterator<Item = EndpointId> {
         self.active.keys().copied()
     }
@@ -97,8 +99,8 @@
         self.active.get(&id).map_or_else(Location::default, |endpoint| endpoint.location)
     }
 
-    /// Applies an update from discovery. Closes idle connections to endpoints that have restarted, changed
-    /// their address or are no longer active. Returns the update for the balancer.
+    /// Applies an update from discovery. Closes idle connections to endpoints that have restarted,
+    /// changed their address or are no longer active. Returns the update for the balancer.
     pub fn apply(
         &mut self,
         update: WatchUpdate,
@@ -147,8 +149,8 @@
         update
     }
 
-    /// Returns the start of an endpoint that reports `boot_ms`. It has restarted if `boot_ms` is known and
-    /// not the value of the previous update, which includes the first start of a new endpoint.
+    /// Returns the start of an endpoint that reports `boot_ms`. It has restarted if `boot_ms` is known
+    /// and not the value of the previous update, which includes the first start of a new endpoint.
     fn reported_start(&self, id: EndpointId, boot_ms: f64, clock: &Clock) -> ReportedStart {
         let known = self.active.get(&id);
         let has_restarted = boot_ms > 0.0 && known.is_none_or(|known| known.boot_ms != boot_ms);
--- a/src/node/driver/event.rs
+++ b/src/node/driver/event.rs
@@ -17,8 +17,8 @@
     pub endpoint: EndpointId,
     /// The outcome, with the response and the load report of the endpoint if it sent them.
     pub result: AttemptResult,
-    /// Time since the attempt was decided on, or since the request's body was complete if that was later, in
-    /// milliseconds.
+    /// Time since the attempt was decided on, or since the request's body was complete if that was later,
+    /// in milliseconds.
     pub elapsed_ms: f64,
 }
 
@@ -42,8 +42,8 @@
         /// Sends the answer to the client's connection.
         responder: Responder,
     },
-    /// The client does not wait for the answer any more, or already has it. A request without an answer ends
-    /// with the given ending.
+    /// The client does not wait for the answer any more, or already has it. A request without an answer
+    /// ends with the given ending.
     ClientDisconnected(RequestId, RequestEnding),
     /// The last byte of a request's streamed body has been sent to the endpoint.
     RequestBodyComplete(RequestId),
--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -1,9 +1,12 @@
-//! The only owner of the balancer: events in, actions out, one at a time and in order.
+//! Drives the balancer: passes events to it, and executes the actions that it returns.
 //!
-//! Sockets, timers and tasks report to [`Driver::handle`]. What they report is noted in the tables of open
-//! requests and known endpoints, translated for the balancer, and the actions that come back are carried
-//! out at once. The driver decides nothing itself; it checks every attempt and rejection with the
-//! [`InvariantGuard`] before it carries it out.
+//! The balancer does no input or output, and its decisions depend on the order of the events. So the
+//! driver is its only owner, and handles one event at a time.
+//!
+//! Sockets, timers and tasks report events to [`Driver::handle`]. The driver updates its tables of open
+//! requests and of endpoints, converts the event for the balancer, and executes the returned actions at
+//! once. It makes no decisions, but checks every attempt and every rejection with the [`InvariantGuard`]
+//! before it executes it.
 
 mod attempt;
 mod endpoint_table;
@@ -38,7 +41,7 @@
 };
 use wheelpath::stable_hash::stable_hash;
 
-/// What events change.
+/// The part of a driver that events change.
 struct DriverState {
     balancer: Balancer,
     guard: InvariantGuard,
@@ -47,25 +50,27 @@
     endpoints: EndpointTable,
 }
 
-/// Events in, actions out.
+/// The owner of a node's balancer, which handles its events and executes its actions.
 pub struct Driver {
     state: RefCell<DriverState>,
+    /// Events that were reported while another event was handled.
     queued_events: RefCell<VecDeque<DriverEvent>>,
-    /// The clock of all events.
+    /// The balancer's clock.
     pub clock: Clock,
-    /// What was done, by reason.
+    /// Counters of answers, attempts and violations, which the admin interface and the log show.
     pub counters: Rc<Counters>,
     upstream: Rc<Upstream>,
     peers: Option<Rc<PeerSocket>>,
     watch_requests: mpsc::UnboundedSender<bool>,
     next_request: Cell<u64>,
-    /// Discovery has answered, or has had time to: until then the list may be long out of date.
+    /// Whether discovery has responded since the start, or has had enough time to. Until then the list
+    /// may be too old to serve with.
     list_is_usable: Cell<bool>,
 }
 
 impl Driver {
-    /// A driver that no event has reached yet. The decisions' requests to watch the endpoint list go out on
-    /// `watch_requests`.
+    /// Creates a driver that has handled no event. It sends on `watch_requests` whether the balancer
+    /// wants the endpoint list to be watched.
     pub fn new(
         balancer: Balancer,
         guard: InvariantGuard,
@@ -93,8 +98,8 @@
         })
     }
 
-    /// Takes in a request and hands out its pending response. `deadline` is when the decisions must have
-    /// ended it, `expires_at` when this node does so without them.
+    /// Submits a request to the balancer, and returns its pending response. The balancer must end the
+    /// request by `deadline`. If it does not, the node fails the request at `expires_at`.
     pub fn submit(
         self: &Rc<Self>,
         mut request: Request,
@@ -114,12 +119,12 @@
         PendingResponse::new(self.clone(), id, proxied, answer, submitted_at, expires_at)
     }
 
-    /// Requests that are not over.
+    /// Returns the number of requests that have no answer yet, or have attempts in flight.
     pub fn open_requests(&self) -> usize {
         self.state.borrow().requests.len()
     }
 
-    /// Fails all that is pending, for a node that has no more time.
+    /// Fails all requests without an answer, because the process is about to end.
     pub fn fail_unanswered(self: &Rc<Self>) {
         let unanswered = self.state.borrow().requests.unanswered();
         for id in unanswered {
@@ -127,7 +132,7 @@
         }
     }
 
-    /// Counts requests that the end of the process leaves without an answer.
+    /// Counts each request that still has no answer at the end of the process as a violation.
     pub fn count_unanswered(&self) {
         let state = self.state.borrow();
         for id in state.requests.unanswered() {
@@ -136,19 +141,20 @@
         }
     }
 
-    /// Whether a request could be served, by a list that is not out of date.
+    /// Returns `true` if the endpoint list is usable and has an endpoint in service.
     pub fn is_ready(&self) -> bool {
         let state = self.state.borrow();
         self.list_is_usable.get() && state.endpoints.active_ids().any(|id| state.is_routable(id))
     }
 
-    /// Marks the endpoint list as good enough to serve by: discovery has sent it, or does not answer. True
-    /// the first time.
+    /// Marks the endpoint list as usable, because discovery has sent a list or does not respond. Returns
+    /// `true` on the first call.
     pub fn mark_list_usable(&self) -> bool {
         !self.list_is_usable.replace(true)
     }
 
-    /// The endpoint of that name; none for one that neither the list nor an earlier command has named.
+    /// Returns the endpoint with this name, or `None` if it is neither in the endpoint list nor disabled
+    /// by an earlier command.
     pub fn find_endpoint(&self, name: &str) -> Option<EndpointId> {
         let id = EndpointId(stable_hash(name));
         let state = self.state.borrow();
@@ -156,24 +162,25 @@
         (is_disabled || state.endpoints.is_listed(id)).then_some(id)
     }
 
-    /// Takes an endpoint out of service or puts it back. True if that changed anything.
+    /// Disables or enables an endpoint for the operators. Returns `true` if this changed its state.
     pub fn set_disabled(self: &Rc<Self>, id: EndpointId, disable: bool) -> bool {
         let was_disabled = self.disabled_endpoints().contains(&id);
         self.handle(if disable { DriverEvent::Disable(id) } else { DriverEvent::Enable(id) });
         was_disabled != disable
     }
 
-    /// The endpoints that the operators have out of service.
+    /// Returns the endpoints that the operators have disabled, whether or not discovery lists them.
     pub fn disabled_endpoints(&self) -> BTreeSet<EndpointId> {
         self.state.borrow().balancer.disabled_endpoints().collect()
     }
 
-    /// What the next process has to know of endpoints.
+    /// Returns the learned state of the endpoints, which the next process of this node takes over.
     pub fn snapshot(&self) -> Vec<EndpointSnapshot> {
         self.state.borrow().balancer.snapshot(self.clock.now_ms())
     }
 
-    /// The single entry point for events. Events that arise while one is handled are queued.
+    /// Handles an event, and executes the actions that the balancer returns. All events enter here. An
+    /// event that is reported while another is handled is queued, and handled afterwards.
     pub fn handle(self: &Rc<Self>, event: DriverEvent) {
         self.queued_events.borrow_mut().push_back(event);
         let Ok(mut state) = self.state.try_borrow_mut() else { return };
@@ -208,13 +215,13 @@
                     peers.send(to, &bytes);
                 }
             }
-            // The watch may have ended with the node.
+            // The send fails if the watch has ended, as at the end of the process.
             Action::SetWatch(on) => drop(self.watch_requests.send(on)),
             Action::Log(event) => log::line(&event.to_string()),
         }
     }
 
-    /// Starts a task that ends when the timer is due, or with the process.
+    /// Starts a task that reports the timer when it is due. The end of the process cancels it.
     fn set_timer(self: &Rc<Self>, token: u64, at_ms: f64) {
         let driver = self.clone();
         let due = self.clock.instant(at_ms);
@@ -226,12 +233,13 @@
 }
 
 impl DriverState {
-    /// Whether an endpoint may be sent to at this moment.
+    /// Returns `true` if attempts may be sent to the endpoint: discovery reports it as active, and the
+    /// operators have not disabled it.
     fn is_routable(&self, endpoint: EndpointId) -> bool {
         self.endpoints.is_active(endpoint) && self.balancer.is_in_service(endpoint)
     }
 
-    /// What the invariants need to know of an endpoint that an attempt is to go to.
+    /// Returns the properties of an attempt's endpoint that the invariants depend on.
     fn attempt_target(&self, endpoint: EndpointId) -> AttemptTarget {
         AttemptTarget {
             in_service: self.is_routable(endpoint),
@@ -239,7 +247,8 @@
         }
     }
 
-    /// Notes what happened and says it in the decisions' terms; none where they need not hear of it.
+    /// Updates the tables and converts the event for the balancer. Returns `None` if the balancer must
+    /// not receive the event, for example because its request has ended.
     fn translate(&mut self, event: DriverEvent, upstream: &Upstream, clock: &Clock) -> Option<Event> {
         Some(match event {
             DriverEvent::Start => Event::Start,
@@ -253,7 +262,7 @@
                 Event::Request(request)
             }
             DriverEvent::ClientDisconnected(id, ending) => {
-                // After the answer this changes nothing.
+                // If the request has its answer, this event has no effect.
                 self.requests.get(id).filter(|request| request.awaits_answer())?;
                 self.requests.respond(id, Answer::Failed, ending);
                 Event::ClientDisconnected(id)
@@ -273,7 +282,7 @@
         })
     }
 
-    /// A streamed response has begun: the request is answered with it.
+    /// Answers a request with a streamed response that has started.
     fn on_response_started(&mut self, report: AttemptReport) -> Option<Event> {
         let AttemptReport { id, attempt, endpoint, result, elapsed_ms } = report;
         let reply = result.reply?;
@@ -282,7 +291,8 @@
         Some(Event::ResponseStarted { id, attempt, endpoint, elapsed_ms })
     }
 
-    /// An attempt is over; a request that still waits is answered with its reply, if it brought one.
+    /// Records the end of an attempt. If the attempt has a response and its request no answer yet,
+    /// answers the request with the response.
     fn on_attempt_ended(&mut self, report: AttemptReport) -> Option<Event> {
         let AttemptReport { id, attempt, endpoint, result, elapsed_ms } = report;
         let (outcome, load) = (result.outcome, result.load);
@@ -301,7 +311,9 @@
         Some(Event::AttemptEnded { id, attempt, endpoint, outcome, request_finished, elapsed_ms, load })
     }
 
-    /// The one place that rejects: a rejection that may do harm becomes a failure.
+    /// Rejects a request. All rejections are sent here. If an invariant forbids the rejection, the
+    /// request fails instead: a rejection invites the client to repeat the request, and an endpoint may
+    /// have executed it already.
     fn reject(&mut self, id: RequestId, retry_after_ms: f64, reason: RejectionReason) {
         let Some(open_request) = self.requests.get(id) else { return };
         match self.guard.may_reject(&open_request.facts()) {
