--- a/src/node/driver/pending_response.rs
+++ b/src/node/driver/pending_response.rs
@@ -1,4 +1,9 @@
-//! The answer that a request waits for, seen from both sides.
+//! Delivers the answer of a request from the driver to the client's connection.
+//!
+//! Each request gets exactly one answer, even if the driver never sends one, and the driver must learn
+//! when the client stops waiting. A [`Responder`] can send one answer, and fails the request when it is
+//! dropped without one. A [`PendingResponse`] waits for the answer until the request expires, and tells
+//! the driver when it is dropped.
 
 use super::{Driver, DriverEvent};
 use crate::observability::request_trace::RequestEnding;
@@ -8,21 +13,21 @@
 use tokio::sync::oneshot;
 use wheelpath::policy::RequestId;
 
-/// A request's final answer.
+/// The final answer to a client's request.
 pub enum Answer {
-    /// An endpoint's response.
+    /// The response of an endpoint.
     Served(UpstreamResponse),
-    /// Rejected: trying again is harmless, best after this long.
+    /// A rejection. The client may safely send the request again.
     Rejected {
-        /// In milliseconds; 0 for no advice.
+        /// Time after which the client should retry, in milliseconds; 0 if no time is advised.
         retry_after_ms: f64,
     },
-    /// Failed, with no promise.
+    /// A failure. An endpoint may have executed the request.
     Failed,
 }
 
-/// The one answer that each request gets. Responding uses it up, so there is no second; dropping it fails
-/// the request.
+/// The driver's side of a pending answer. Sending the answer consumes the responder, so there is no
+/// second answer. Dropping the responder fails the request.
 pub struct Responder(oneshot::Sender<Answer>);
 
 impl Responder {
@@ -31,13 +36,13 @@
     }
 
     pub(super) fn respond(self, answer: Answer) {
-        // A client that has gone wants none.
+        // The send fails if the client has left, and there is nobody to answer then.
         let _ = self.0.send(answer);
     }
 }
 
-/// The client's side of a pending answer. Dropped before the answer came, it reports that the client has
-/// gone.
+/// The client's side of a pending answer. Dropping it reports to the driver that the client waits no
+/// longer, which has no effect once the request has its answer.
 pub struct PendingResponse {
     driver: Rc<Driver>,
     id: RequestId,
@@ -45,7 +50,7 @@
     answer: oneshot::Receiver<Answer>,
     submitted_at: Instant,
     expires_at: Instant,
-    /// Its time was over before it was answered.
+    /// Whether the request expired before it had an answer.
     has_expired: bool,
 }
 
@@ -61,19 +66,20 @@
         PendingResponse { driver, id, proxied, answer, submitted_at, expires_at, has_expired: false }
     }
 
-    /// Waits for the answer; past the deadline that is a failure, whatever attempts are in flight.
+    /// Waits for the answer. Returns [`Answer::Failed`] when the request expires, even if attempts are in
+    /// flight.
     pub async fn answer(mut self) -> Answer {
         let proxied = self.proxied.clone();
-        let expired = async {
-            // A streamed body that ends later than the request came moves the deadline by as much.
-            let complete_at = proxied.body_complete().await;
-            let delay = complete_at.map(|at| at.saturating_duration_since(self.submitted_at));
+        let expiry = async {
+            // The times of a request with a streamed body count from the end of the body.
+            let completed_at = proxied.body_complete().await;
+            let delay = completed_at.map(|at| at.saturating_duration_since(self.submitted_at));
             tokio::time::sleep_until((self.expires_at + delay.unwrap_or_default()).into()).await;
         };
         tokio::select! {
             biased;
             answer = &mut self.answer => answer.unwrap_or(Answer::Failed),
-            () = expired => {
+            () = expiry => {
                 self.has_expired = true;
                 Answer::Failed
             }
--- a/src/node/driver/request_table.rs
+++ b/src/node/driver/request_table.rs
@@ -1,4 +1,7 @@
-//! The requests that are open: not answered yet, or with attempts in flight.
+//! Stores the open requests: those that have no answer yet, or have attempts in flight.
+//!
+//! A request stays in the table after its answer until its last attempt has ended, so that the outcomes
+//! of all its attempts reach the balancer, the counters and the trace.
 
 use super::pending_response::{Answer, Responder};
 use crate::observability::counters::{CounterKind, Counters};
@@ -11,22 +14,28 @@
 use tokio::sync::oneshot;
 use wheelpath::policy::{AttemptOutcome, EndpointId, Location, Request, RequestId};
 
-/// One open request.
+/// A request that has no answer yet, or has attempts in flight.
 pub(super) struct OpenRequest {
+    /// Sends the answer; `None` if the request has been answered.
     responder: Option<Responder>,
     pub proxied: Rc<ProxiedRequest>,
-    /// What cancels each attempt when dropped; none where it is over.
+    /// A handle for each attempt, which cancels the attempt when it is dropped; `None` if the attempt has
+    /// ended.
     cancel_handles: Vec<Option<oneshot::Sender<()>>>,
-    /// The same attempts, as far as the invariants go by them.
+    /// A record of each attempt, for the checks of the invariants.
     attempts: Vec<AttemptRecord>,
+    /// Index of the request's class in the settings.
     class: usize,
+    /// When the request arrived, or its streamed body was complete, in milliseconds on the balancer's
+    /// clock.
     arrived_at_ms: f64,
+    /// When the client stops waiting, in milliseconds on the balancer's clock.
     deadline_ms: f64,
     pub trace: RequestTrace,
 }
 
 impl OpenRequest {
-    /// A request that has just arrived.
+    /// Creates the record of a request that arrived at `now_ms` and has no attempt yet.
     pub fn new(
         request: &Request,
         proxied: Rc<ProxiedRequest>,
@@ -46,7 +55,7 @@
         }
     }
 
-    /// It has no final answer yet.
+    /// Returns `true` if the request has no final answer yet.
     pub fn awaits_answer(&self) -> bool {
         self.responder.is_some()
     }
@@ -55,7 +64,7 @@
         self.responder.is_none() && self.cancel_handles.iter().all(Option::is_none)
     }
 
-    /// What the invariants go by.
+    /// Returns the properties of the request that the invariants depend on.
     pub fn facts(&self) -> RequestFacts<'_> {
         RequestFacts {
             class: self.class,
@@ -65,7 +74,8 @@
         }
     }
 
-    /// The last byte of its body has come at `now_ms`: its times count from there.
+    /// Moves the times of the request so that they count from `now_ms`, at which the last byte of its
+    /// body was sent.
     pub fn shift_times_to(&mut self, now_ms: f64) {
         let delay_ms = now_ms - self.arrived_at_ms;
         self.arrived_at_ms = now_ms;
@@ -73,12 +83,12 @@
         self.attempts.iter_mut().for_each(|attempt| attempt.sent_at_ms += delay_ms);
     }
 
-    /// Number of the next attempt.
+    /// Returns the number of the next attempt. The first attempt has number 0.
     pub fn next_attempt(&self) -> u32 {
         u32::try_from(self.cancel_handles.len()).unwrap_or(u32::MAX)
     }
 
-    /// Notes an attempt; dropping `cancel` cancels it.
+    /// Records an attempt, which is cancelled when `cancel_handle` is dropped.
     pub fn add_attempt(
         &mut self,
         endpoint: EndpointId,
@@ -91,7 +101,7 @@
         self.attempts.push(AttemptRecord { location, sent_at_ms: now_ms, outcome: None });
     }
 
-    /// Notes the end of an attempt. False where it was over already.
+    /// Records the end of an attempt. Returns `false` if the attempt is unknown or had ended already.
     pub fn end_attempt(&mut self, attempt: u32, outcome: AttemptOutcome) -> bool {
         let handle = self.cancel_handles.get_mut(attempt as usize).and_then(Option::take);
         if handle.is_none() {
@@ -105,19 +115,19 @@
     }
 }
 
-/// All open requests.
+/// The open requests of a node, by id.
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, OpenRequest>,
     counters: Rc<Counters>,
 }
 
 impl RequestTable {
-    /// An empty table.
+    /// Creates an empty table, which counts answers in `counters`.
     pub fn new(counters: Rc<Counters>) -> RequestTable {
         RequestTable { requests: HashMap::new(), counters }
     }
 
-    /// How many there are.
+    /// Returns the number of open requests, including answered ones with attempts in flight.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
@@ -134,23 +144,23 @@
         self.requests.get_mut(&id)
     }
 
-    /// Those without a final answer.
+    /// Returns the requests without a final answer, in no particular order.
     pub fn unanswered(&self) -> Vec<RequestId> {
         self.requests.iter().filter(|(_, request)| request.awaits_answer()).map(|(id, _)| *id).collect()
     }
 
-    /// Cancels an attempt: its task closes the connection and reports its end.
+    /// Cancels an attempt. Its task then closes the connection and reports the end of the attempt.
     pub fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
         let open_request = self.requests.get_mut(&id);
         let handle = open_request.and_then(|request| request.cancel_handles.get_mut(attempt as usize));
         if let Some(cancel_handle) = handle.and_then(Option::as_mut) {
-            // A handle whose other end has gone stands for an attempt that was cancelled and has not
-            // reported yet.
+            // Replaces the handle, which drops it, by one without a receiver. `None` would mean that the
+            // attempt has ended, but its task has yet to report the end.
             *cancel_handle = oneshot::channel().0;
         }
     }
 
-    /// The one place in which a request gets its final answer.
+    /// Sends the final answer of a request, unless it already has one. All answers are sent here.
     pub fn respond(&mut self, id: RequestId, answer: Answer, ending: RequestEnding) {
         let Some(open_request) = self.requests.get_mut(&id) else { return };
         if let Some(responder) = open_request.responder.take() {
@@ -164,7 +174,8 @@
         self.remove_if_closed(id);
     }
 
-    /// Removes a request that is answered and has no attempt in flight, and logs its trace.
+    /// Removes a request if it has been answered and has no attempt in flight. Then logs its trace,
+    /// unless its first attempt was successful and the log settings leave out such requests.
     pub fn remove_if_closed(&mut self, id: RequestId) {
         if !self.requests.get(&id).is_some_and(OpenRequest::is_closed) {
             return;
