--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,4 +1,7 @@
-//! Datagrams between the nodes of a tier. They may be lost.
+//! Sends and receives messages between the nodes of a tier, as UDP datagrams.
+//!
+//! Messages may be lost. Anyone who reaches the socket can send to it, so messages from addresses outside
+//! of the tier, and messages above the size limit, are ignored.
 
 use crate::observability::log;
 use crate::system::syscall_errors::is_interrupted;
@@ -8,99 +11,106 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// The longest datagram that the deployment's rules allow, in bytes.
-const MAX_MESSAGE: usize = 256;
-/// Pause after a receive that failed.
+/// Largest message that the rules of the deployment allow, in bytes.
+const MAX_MESSAGE_BYTES: usize = 256;
+/// Pause after a failed receive, before the next one.
 const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(1);
 
-/// Where the nodes of the tier are.
+/// The addresses at which the nodes of the tier receive messages, from the configuration.
 #[derive(Clone, Debug)]
 pub struct PeerAddresses {
-    /// All of them, by number.
+    /// Addresses of all nodes, by node index. Includes this node.
     pub nodes: Vec<SocketAddr>,
-    /// Reaches every one of them, if there is such an address.
+    /// An address that reaches all nodes at once; `None` if the network has none.
     pub broadcast: Option<SocketAddr>,
-    /// This node's number.
-    pub own: u32,
+    /// Index of this node in `nodes`.
+    pub own_index: u32,
 }
 
 impl PeerAddresses {
-    fn numbered(&self) -> impl Iterator<Item = (u32, SocketAddr)> {
+    fn indexed_nodes(&self) -> impl Iterator<Item = (u32, SocketAddr)> {
         (0..).zip(self.nodes.iter().copied())
     }
 
     fn others(&self) -> Vec<SocketAddr> {
-        let others = self.numbered().filter(|(number, _)| *number != self.own);
+        let others = self.indexed_nodes().filter(|(index, _)| *index != self.own_index);
         others.map(|(_, address)| address).collect()
     }
 
-    /// Where a message goes.
-    fn receivers(&self, to: Option<u32>) -> Vec<SocketAddr> {
+    /// Returns the addresses to send a message to: that of the node with index `to` if the tier has it,
+    /// or the broadcast address or those of all other nodes if `to` is `None`.
+    fn recipients(&self, to: Option<u32>) -> Vec<SocketAddr> {
         match (to, self.broadcast) {
-            (Some(number), _) => self.nodes.get(number as usize).copied().into_iter().collect(),
+            (Some(index), _) => self.nodes.get(index as usize).copied().into_iter().collect(),
             (None, Some(broadcast)) => vec![broadcast],
             (None, None) => self.others(),
         }
     }
 
-    fn number_of(&self, address: SocketAddr) -> Option<u32> {
-        self.numbered().find(|(_, known)| *known == address).map(|(number, _)| number)
+    fn index_of(&self, address: SocketAddr) -> Option<u32> {
+        self.indexed_nodes().find(|(_, known)| *known == address).map(|(index, _)| index)
     }
 }
 
-/// A message of another node.
+/// A message received from a node of the tier.
 #[derive(Debug, PartialEq, Eq)]
 pub struct PeerMessage {
-    /// Number of the sender.
+    /// Index of the sending node.
     pub from: u32,
-    /// What it said.
+    /// The message, of at most 256 bytes.
     pub bytes: Vec<u8>,
 }
 
-/// The socket for messages to and from the other nodes.
+/// A UDP socket that sends messages to the other nodes and receives theirs.
 pub struct PeerSocket {
     socket: UdpSocket,
     addresses: PeerAddresses,
 }
 
 impl PeerSocket {
-    /// Listens at `listen`. A `shared` address is also that of the process before this one or after it, for
-    /// as long as there are two: each message reaches one of them.
+    /// Binds a socket to `listen`. With `reuse_port`, the previous or the next process of this node can
+    /// be bound to the same address during a takeover; each message then reaches one of the two.
     ///
     /// # Errors
-    /// The address is taken, or the system cannot do it for the moment.
-    pub fn bind(listen: SocketAddr, shared: bool, addresses: PeerAddresses) -> io::Result<PeerSocket> {
+    /// Returns the error of the system: the address is in use, or a resource is temporarily not
+    /// available.
+    pub fn bind(listen: SocketAddr, reuse_port: bool, addresses: PeerAddresses) -> io::Result<PeerSocket> {
         let socket = Socket::new(Domain::for_address(listen), Type::DGRAM, None)?;
-        socket.set_reuse_port(shared)?;
+        socket.set_reuse_port(reuse_port)?;
         socket.set_nonblocking(true)?;
         socket.bind(&listen.into())?;
         Ok(PeerSocket { socket: UdpSocket::from_std(socket.into())?, addresses })
     }
 
-    /// Sends to one node or to all others. A message that cannot go is lost, as any may be.
+    /// Sends a message to the node with index `to`, or to all other nodes if `to` is `None`. A message
+    /// that cannot be sent is lost without an error; the caller must not rely on the arrival of any
+    /// message.
     pub fn send(&self, to: Option<u32>, bytes: &[u8]) {
-        if bytes.len() > MAX_MESSAGE {
-            log::line(&format!("message of {} bytes not sent", bytes.len()));
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            log::line(&format!(
+                "peer message of {} bytes not sent: it is above the size limit",
+                bytes.len()
+            ));
             return;
         }
-        for receiver in self.addresses.receivers(to) {
-            while self.socket.try_send_to(bytes, receiver).is_err_and(|error| is_interrupted(&error)) {}
+        for recipient in self.addresses.recipients(to) {
+            while self.socket.try_send_to(bytes, recipient).is_err_and(|error| is_interrupted(&error)) {}
         }
     }
 
-    /// Waits for the next message of a node of the tier; other senders and overlong datagrams are passed
-    /// over.
+    /// Waits for the next message from a node of the tier. Ignores datagrams from other senders, and
+    /// those above the size limit.
     pub async fn receive(&self) -> PeerMessage {
-        let mut buffer = [0_u8; MAX_MESSAGE + 1];
+        let mut buffer = [0_u8; MAX_MESSAGE_BYTES + 1];
         loop {
             let Ok((length, sender)) = self.socket.recv_from(&mut buffer).await else {
-                // The system reports errors of earlier sends here, such as one to a peer that is down.
+                // The system reports errors of earlier sends here, for example if a peer is down.
                 tokio::time::sleep(RECEIVE_RETRY_PAUSE).await;
                 continue;
             };
-            if let Some(from) = self.addresses.number_of(sender)
+            if let Some(from) = self.addresses.index_of(sender)
                 && let Some(bytes) = buffer.get(..length)
-                && length <= MAX_MESSAGE
+                && length <= MAX_MESSAGE_BYTES
             {
                 return PeerMessage { from, bytes: bytes.to_vec() };
             }
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -155,7 +155,7 @@
     PeerAddresses {
         nodes: config.peers.clone(),
         broadcast: config.peer_broadcast,
-        own: config.settings.node_index,
+        own_index: config.settings.node_index,
     }
 }
 
