--- a/src/node/discovery/client.rs
+++ b/src/node/discovery/client.rs
@@ -64,7 +64,7 @@
     /// The connection was not established.
     #[error(transparent)]
     Connect(#[from] ConnectError),
-    /// The connection was lost, or the response is not valid HTTP.
+    /// The connection was lost, or the response is not valid or not complete.
     #[error(transparent)]
     Exchange(#[from] ExchangeError),
     /// The response was not complete within the timeout.
--- a/src/node/discovery/mod.rs
+++ b/src/node/discovery/mod.rs
@@ -8,6 +8,11 @@
 //! The node cannot tell a call that will never get a response from one without an update, so it makes
 //! further calls in parallel.
 //!
+//! A node is expected to know each change after a certain time, whether or not it has received the
+//! change, and must not begin attempts at an endpoint that has left service by then. The timeouts and
+//! intervals of the calls are chosen so that the node receives each change in time even if one call gets
+//! no response.
+//!
 //! [`endpoint_list`] parses lists, [`client`] makes calls, and [`watch`] decides which call comes next.
 
 mod client;
--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -37,8 +37,8 @@
 /// Time after a change of the address within which the node is expected to know the list of the new
 /// address.
 const ADDRESS_CHANGE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Longest pause before a failed call is repeated during [`ADDRESS_CHANGE_TIMEOUT`], which is too short
-/// for the pauses that the balancer schedules.
+/// During [`ADDRESS_CHANGE_TIMEOUT`], a failed call is repeated after a random pause of at most this
+/// length, regardless of the pauses that the balancer would schedule.
 const ADDRESS_CHANGE_RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// Time after which a starting process is ready in poll mode even if discovery has not responded. A
 /// process waits for the first response because it may be expected to know at once the changes made while
@@ -51,8 +51,8 @@
 /// A call that fails within this time was not queued at the service: discovery is down and cannot send a
 /// newer list.
 const IMMEDIATE_FAILURE_TIME: Duration = Duration::from_secs(1);
-/// Pause before this module repeats a failed call. The protocol requires that a watch continues within
-/// 200 ms.
+/// Pause after a failed call in push mode, and after a call that does not lead to a watch that waits. The
+/// protocol requires that a watch continues within 200 ms.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 /// If a watch ends without an update within this time, discovery did not wait for one.
 const MIN_WATCH_TIME: Duration = Duration::from_millis(50);
@@ -107,7 +107,8 @@
     state: WatchState,
     client: DiscoveryClient,
     mode: DiscoveryMode,
-    addresses: watch::Receiver<SocketAddr>,
+    address_receiver: watch::Receiver<SocketAddr>,
+    /// The address that calls are made to.
     address: SocketAddr,
     watch_requests: mpsc::UnboundedReceiver<bool>,
     shared_version: Rc<Cell<Option<u64>>>,
@@ -130,7 +131,7 @@
             state: if starts_at_once { WatchState::CatchingUp } else { WatchState::Paused },
             client: DiscoveryClient::new(setup.mode, setup.names, setup.descriptors),
             mode: setup.mode,
-            addresses: setup.address,
+            address_receiver: setup.address,
             address,
             watch_requests: setup.watch_requests,
             version: setup.version.get(),
@@ -160,11 +161,11 @@
                 WatchState::Watching => CallKind::Watch { check_interval: self.check_interval() },
             };
             let started_at = Instant::now();
-            let mut addresses = self.addresses.clone();
+            let mut address_receiver = self.address_receiver.clone();
             // A change of the address cancels the call: the old address may have a different list.
             let result = tokio::select! {
                 result = self.client.call(self.address, self.version, call) => result,
-                Ok(()) = addresses.changed() => continue,
+                Ok(()) = address_receiver.changed() => continue,
             };
             match result {
                 Ok(outcome) => self.on_success(outcome, started_at, &driver).await,
@@ -189,7 +190,7 @@
 
     /// If the address has changed, disconnects from the old address and calls the new one next.
     fn apply_address_change(&mut self) {
-        let address = *self.addresses.borrow_and_update();
+        let address = *self.address_receiver.borrow_and_update();
         if address == self.address {
             return;
         }
@@ -211,7 +212,7 @@
                 Some(should_watch) => self.on_watch_request(should_watch),
                 None => return false,
             },
-            Ok(()) = self.addresses.changed() => {}
+            Ok(()) = self.address_receiver.changed() => {}
         }
         true
     }
@@ -245,8 +246,8 @@
     ) {
         let ended_at_once = started_at.elapsed() < MIN_WATCH_TIME;
         let did_not_wait = was_watching && self.version == Some(list.version) && ended_at_once;
-        // If its version is below the known one, discovery has restarted its version numbers. Changes
-        // cannot be applied to the known list then, and the next call requests the full list.
+        // A version below the known one means that discovery has restarted its version numbers. The
+        // changes do not apply to the list of this node then, and the next call requests the full list.
         let versions_restarted = !list.is_complete && self.version.is_none_or(|known| list.version < known);
         self.version = if versions_restarted { None } else { Some(list.version) };
         self.shared_version.set(self.version);
@@ -256,7 +257,7 @@
             driver.mark_list_usable();
         }
         if versions_restarted || did_not_wait {
-            // Prevents a busy loop of calls to a discovery that does not wait for updates.
+            // Prevents a busy loop of calls if discovery does not wait for updates.
             tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
@@ -279,7 +280,7 @@
                 "discovery: no answer to {failures} consecutive calls to {address}: {error}"
             ));
         }
-        match self.retry_after(error) {
+        match self.choose_retry(error) {
             Retry::Immediately => self.has_repeated_immediately = true,
             Retry::After(pause) => tokio::time::sleep(pause).await,
             Retry::WhenRequested => {
@@ -289,7 +290,7 @@
         }
     }
 
-    fn retry_after(&mut self, error: &DiscoveryError) -> Retry {
+    fn choose_retry(&mut self, error: &DiscoveryError) -> Retry {
         if self.mode == DiscoveryMode::Push {
             // The agent may have restarted its version numbers by the next call, and its full list costs
             // nothing.
@@ -313,7 +314,7 @@
     driver.handle(DriverEvent::EndpointsChanged { update, endpoints });
 }
 
-/// Marks the list that the process started with as current when discovery has had enough time to respond.
+/// Marks the list that the process started with as usable when discovery has had enough time to respond.
 /// The task then ends.
 async fn mark_list_usable_after_timeout(mode: DiscoveryMode, driver: Rc<Driver>) {
     let timeout = match mode {
