--- a/src/node/driver/attempt.rs
+++ b/src/node/driver/attempt.rs
@@ -156,8 +156,8 @@
 }
 
 /// Runs an attempt until it ends or is cancelled, and returns its connection to the pool. The task that
-/// runs this function ends at the attempt's timeout at the latest, at the end of the response if that is
-/// streamed, or with the process.
+/// runs this function ends by the attempt's timeout or, if the response is streamed, with the response.
+/// The end of the process also ends it.
 async fn run_attempt(
     attempt: Attempt,
     mut reporter: AttemptReporter,
--- a/src/node/driver/endpoint_table.rs
+++ b/src/node/driver/endpoint_table.rs
@@ -149,8 +149,9 @@
         update
     }
 
-    /// Returns the start of an endpoint that reports `boot_ms`. It has restarted if `boot_ms` is known
-    /// and not the value of the previous update, which includes the first start of a new endpoint.
+    /// Returns the start of an endpoint for which discovery reports `boot_ms`. A value above 0 that
+    /// differs from the previous one is a restart. The first start of a new endpoint counts as a restart,
+    /// too.
     fn reported_start(&self, id: EndpointId, boot_ms: f64, clock: &Clock) -> ReportedStart {
         let known = self.active.get(&id);
         let has_restarted = boot_ms > 0.0 && known.is_none_or(|known| known.boot_ms != boot_ms);
--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -62,7 +62,7 @@
     upstream: Rc<Upstream>,
     peers: Option<Rc<PeerSocket>>,
     watch_requests: mpsc::UnboundedSender<bool>,
-    next_request: Cell<u64>,
+    next_request_id: Cell<u64>,
     /// Whether discovery has responded since the start, or has had enough time to. Until then the list
     /// may be too old to serve with.
     list_is_usable: Cell<bool>,
@@ -93,7 +93,7 @@
             upstream,
             peers,
             watch_requests,
-            next_request: Cell::new(0),
+            next_request_id: Cell::new(0),
             list_is_usable: Cell::new(false),
         })
     }
@@ -107,8 +107,8 @@
         deadline: Instant,
         expires_at: Instant,
     ) -> PendingResponse {
-        let id = RequestId(self.next_request.get());
-        self.next_request.set(id.0 + 1);
+        let id = RequestId(self.next_request_id.get());
+        self.next_request_id.set(id.0 + 1);
         request.id = id;
         request.deadline_ms = self.clock.at_ms(deadline);
         let (responder, answer) = oneshot::channel();
@@ -216,7 +216,7 @@
                 }
             }
             // The send fails if the watch has ended, as at the end of the process.
-            Action::SetWatch(on) => drop(self.watch_requests.send(on)),
+            Action::SetWatch(should_watch) => drop(self.watch_requests.send(should_watch)),
             Action::Log(event) => log::line(&event.to_string()),
         }
     }
--- a/src/node/driver/request_table.rs
+++ b/src/node/driver/request_table.rs
@@ -174,8 +174,8 @@
         self.remove_if_closed(id);
     }
 
-    /// Removes a request if it has been answered and has no attempt in flight. Then logs its trace,
-    /// unless its first attempt was successful and the log settings leave out such requests.
+    /// Removes a request if it has been answered and has no attempt in flight. Logs the trace of a
+    /// removed request, unless its first attempt served it and the log is not set to all requests.
     pub fn remove_if_closed(&mut self, id: RequestId) {
         if !self.requests.get(&id).is_some_and(OpenRequest::is_closed) {
             return;
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,7 +1,7 @@
 //! Sends and receives messages between the nodes of a tier, as UDP datagrams.
 //!
-//! Messages may be lost. Anyone who reaches the socket can send to it, so messages from addresses outside
-//! of the tier, and messages above the size limit, are ignored.
+//! Messages may be lost. Any host that can reach the socket can send to it, so the node ignores messages
+//! from addresses outside of the tier, and messages above the size limit.
 
 use crate::observability::log;
 use crate::system::syscall_errors::is_interrupted;
@@ -47,6 +47,7 @@
         }
     }
 
+    /// Returns the index of the node with this address, or `None` if the tier has no such node.
     fn index_of(&self, address: SocketAddr) -> Option<u32> {
         self.indexed_nodes().find(|(_, known)| *known == address).map(|(index, _)| index)
     }
