--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns the number of requests that have no answer yet, or have attempts in flight.
-    pub fn open_requests(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.state.borrow().requests.len()
     }
 
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -252,7 +252,7 @@
     /// Answers a request unless its client leaves first. hyper notices a client's close only when nothing
     /// else is left to read, so behind a pipelined request it would notice too late.
     async fn submit(&self, parsed: ParsedRequest, socket: &Socket) -> Result<ClientResponse, ClientLeft> {
-        if self.driver.open_requests() >= self.max_open_requests {
+        if self.driver.open_request_count() >= self.max_open_requests {
             return Ok(full());
         }
         let ParsedRequest { request, proxied, deadline, expires_at, trace_id: _held } = parsed;
