--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -1,9 +1,12 @@
-//! The only owner of the balancer: events in, actions out, one at a time and in order.
+//! Drives the balancer: passes events to it, and executes the actions that it returns.
 //!
-//! Sockets, timers and tasks report to [`Driver::take`]. What they report is noted in the tables of open
-//! requests and known endpoints, translated for the balancer, and the actions that come back are carried
-//! out at once. The driver decides nothing itself; it checks every attempt and rejection with the
-//! [`InvariantGuard`] before it carries it out.
+//! The balancer does no input or output, and its decisions depend on the order of the events. So the
+//! driver is its only owner, and handles one event at a time.
+//!
+//! Sockets, timers and tasks report events to [`Driver::handle`]. The driver updates its tables of open
+//! requests and of endpoints, converts the event for the balancer, and executes the returned actions at
+//! once. It makes no decisions, but checks every attempt and every rejection with the [`InvariantGuard`]
+//! before it executes it.
 
 mod attempt;
 mod endpoint_table;
@@ -15,9 +18,9 @@
 pub use event::DriverEvent;
 pub use pending_response::{Answer, PendingResponse};
 
-use crate::driver::attempt::AttemptOrder;
+use crate::driver::attempt::AttemptParameters;
 use crate::driver::endpoint_table::EndpointTable;
-use crate::driver::event::AttemptResponse;
+use crate::driver::event::AttemptReport;
 use crate::driver::pending_response::Responder;
 use crate::driver::request_table::{OpenRequest, RequestTable};
 use crate::observability::counters::{CounterKind, Counters, Violation};
@@ -38,8 +41,8 @@
 };
 use wheelpath::stable_hash::stable_hash;
 
-/// What events change.
-struct Core {
+/// The part of a driver that events change.
+struct DriverState {
     balancer: Balancer,
     guard: InvariantGuard,
     counters: Rc<Counters>,
@@ -47,25 +50,27 @@
     endpoints: EndpointTable,
 }
 
-/// Events in, actions out.
+/// The owner of a node's balancer, which handles its events and executes its actions.
 pub struct Driver {
-    core: RefCell<Core>,
-    inbox: RefCell<VecDeque<DriverEvent>>,
-    /// The clock of all events.
+    state: RefCell<DriverState>,
+    /// Events that were reported while another event was handled.
+    queued_events: RefCell<VecDeque<DriverEvent>>,
+    /// The balancer's clock.
     pub clock: Clock,
-    /// What was done, by reason.
+    /// Counters of answers, attempts and violations, which the admin interface and the log show.
     pub counters: Rc<Counters>,
     upstream: Rc<Upstream>,
     peers: Option<Rc<PeerSocket>>,
     watch_requests: mpsc::UnboundedSender<bool>,
-    next_request: Cell<u64>,
-    /// Discovery has answered, or has had time to: until then the list may be long out of date.
-    list_is_current: Cell<bool>,
+    next_request_id: Cell<u64>,
+    /// Whether discovery has responded since the start, or has had enough time to. Until then the list
+    /// may be too old to serve with.
+    list_is_usable: Cell<bool>,
 }
 
 impl Driver {
-    /// A driver that no event has reached yet. The decisions' requests to watch the endpoint list go out on
-    /// `watch_requests`.
+    /// Creates a driver that has handled no event. It sends on `watch_requests` whether the balancer
+    /// wants the endpoint list to be watched.
     pub fn new(
         balancer: Balancer,
         guard: InvariantGuard,
@@ -75,26 +80,26 @@
     ) -> Rc<Driver> {
         let counters = Rc::new(Counters::default());
         Rc::new(Driver {
-            core: RefCell::new(Core {
+            state: RefCell::new(DriverState {
                 balancer,
                 guard,
                 counters: counters.clone(),
                 requests: RequestTable::new(counters.clone()),
                 endpoints: EndpointTable::default(),
             }),
-            inbox: RefCell::default(),
+            queued_events: RefCell::default(),
             clock: Clock::new(),
             counters,
             upstream,
             peers,
             watch_requests,
-            next_request: Cell::new(0),
-            list_is_current: Cell::new(false),
+            next_request_id: Cell::new(0),
+            list_is_usable: Cell::new(false),
         })
     }
 
-    /// Takes in a request and hands out its pending response. `deadline` is when the decisions must have
-    /// ended it, `expires_at` when this node does so without them.
+    /// Submits a request to the balancer, and returns its pending response. The balancer must end the
+    /// request by `deadline`. If it does not, the node fails the request at `expires_at`.
     pub fn submit(
         self: &Rc<Self>,
         mut request: Request,
@@ -102,104 +107,106 @@
         deadline: Instant,
         expires_at: Instant,
     ) -> PendingResponse {
-        let id = RequestId(self.next_request.get());
-        self.next_request.set(id.0 + 1);
+        let id = RequestId(self.next_request_id.get());
+        self.next_request_id.set(id.0 + 1);
         request.id = id;
         request.deadline_ms = self.clock.at_ms(deadline);
         let (responder, answer) = oneshot::channel();
         let proxied = Rc::new(proxied);
         let submitted_at = Instant::now();
         let responder = Responder::new(responder);
-        self.take(DriverEvent::RequestArrived { request, proxied: proxied.clone(), responder });
+        self.handle(DriverEvent::RequestArrived { request, proxied: proxied.clone(), responder });
         PendingResponse::new(self.clone(), id, proxied, answer, submitted_at, expires_at)
     }
 
-    /// Requests that are not over.
-    pub fn open_requests(&self) -> usize {
-        self.core.borrow().requests.len()
+    /// Returns the number of requests that have no answer yet, or have attempts in flight.
+    pub fn open_request_count(&self) -> usize {
+        self.state.borrow().requests.len()
     }
 
-    /// Fails all that is pending, for a node that has no more time.
-    pub fn fail_pending(self: &Rc<Self>) {
-        let pending = self.core.borrow().requests.unanswered();
-        for id in pending {
-            self.take(DriverEvent::ClientDisconnected(id, RequestEnding::Stopped));
+    /// Fails all requests without an answer, because the process is about to end.
+    pub fn fail_unanswered(self: &Rc<Self>) {
+        let unanswered = self.state.borrow().requests.unanswered();
+        for id in unanswered {
+            self.handle(DriverEvent::ClientDisconnected(id, RequestEnding::Stopped));
         }
     }
 
-    /// Counts requests that the end of the process leaves without an answer.
+    /// Counts each request that still has no answer at the end of the process as a violation.
     pub fn count_unanswered(&self) {
-        let core = self.core.borrow();
-        for id in core.requests.unanswered() {
-            let trace_id = core.requests.get(id).map_or("?", |open| open.trace.id());
+        let state = self.state.borrow();
+        for id in state.requests.unanswered() {
+            let trace_id = state.requests.get(id).map_or("?", |request| request.trace.id());
             self.counters.record_violation(Violation::EndUnanswered, trace_id);
         }
     }
 
-    /// Whether a request could be served, by a list that is not out of date.
+    /// Returns `true` if the endpoint list is usable and has an endpoint in service.
     pub fn is_ready(&self) -> bool {
-        let core = self.core.borrow();
-        self.list_is_current.get() && core.endpoints.ids().any(|id| core.is_routable(id))
+        let state = self.state.borrow();
+        self.list_is_usable.get() && state.endpoints.active_ids().any(|id| state.is_routable(id))
     }
 
-    /// Marks the endpoint list as good enough to serve by: discovery has sent it, or does not answer. True
-    /// the first time.
-    pub fn mark_list_current(&self) -> bool {
-        !self.list_is_current.replace(true)
+    /// Marks the endpoint list as usable, because discovery has sent a list or does not respond. Returns
+    /// `true` on the first call.
+    pub fn mark_list_usable(&self) -> bool {
+        !self.list_is_usable.replace(true)
     }
 
-    /// The endpoint of that name; none for one that neither the list nor an earlier command has named.
+    /// Returns the endpoint with this name, or `None` if it is neither in the endpoint list nor disabled
+    /// by an earlier command.
     pub fn find_endpoint(&self, name: &str) -> Option<EndpointId> {
         let id = EndpointId(stable_hash(name));
-        let core = self.core.borrow();
-        let is_disabled = core.balancer.disabled_endpoints().any(|disabled| disabled == id);
-        (is_disabled || core.endpoints.is_listed(id)).then_some(id)
+        let state = self.state.borrow();
+        let is_disabled = state.balancer.disabled_endpoints().any(|disabled| disabled == id);
+        (is_disabled || state.endpoints.is_listed(id)).then_some(id)
     }
 
-    /// Takes an endpoint out of service or puts it back. True if that changed anything.
+    /// Disables or enables an endpoint for the operators. Returns `true` if this changed its state.
     pub fn set_disabled(self: &Rc<Self>, id: EndpointId, disable: bool) -> bool {
-        let was_disabled = self.disabled().contains(&id);
-        self.take(if disable { DriverEvent::Disable(id) } else { DriverEvent::Enable(id) });
+        let was_disabled = self.disabled_endpoints().contains(&id);
+        self.handle(if disable { DriverEvent::Disable(id) } else { DriverEvent::Enable(id) });
         was_disabled != disable
     }
 
-    /// The endpoints that the operators have out of service.
-    pub fn disabled(&self) -> BTreeSet<EndpointId> {
-        self.core.borrow().balancer.disabled_endpoints().collect()
+    /// Returns the endpoints that the operators have disabled, whether or not discovery lists them.
+    pub fn disabled_endpoints(&self) -> BTreeSet<EndpointId> {
+        self.state.borrow().balancer.disabled_endpoints().collect()
     }
 
-    /// What the next process has to know of endpoints.
+    /// Returns the learned state of the endpoints, which the next process of this node takes over.
     pub fn snapshot(&self) -> Vec<EndpointSnapshot> {
-        self.core.borrow().balancer.snapshot(self.clock.now_ms())
+        self.state.borrow().balancer.snapshot(self.clock.now_ms())
     }
 
-    /// The single entry point for events. Events that arise while one is handled are queued.
-    pub fn take(self: &Rc<Self>, event: DriverEvent) {
-        self.inbox.borrow_mut().push_back(event);
-        let Ok(mut core) = self.core.try_borrow_mut() else { return };
+    /// Handles an event, and executes the actions that the balancer returns. All events enter here. An
+    /// event that is reported while another is handled is queued, and handled afterwards.
+    pub fn handle(self: &Rc<Self>, event: DriverEvent) {
+        self.queued_events.borrow_mut().push_back(event);
+        let Ok(mut state) = self.state.try_borrow_mut() else { return };
         let mut actions = Vec::new();
         loop {
-            let next = self.inbox.borrow_mut().pop_front();
+            let next = self.queued_events.borrow_mut().pop_front();
             let Some(event) = next else { return };
-            let Some(event) = core.translate(event, &self.upstream, &self.clock) else { continue };
+            let Some(event) = state.translate(event, &self.upstream, &self.clock) else { continue };
             let now_ms = self.clock.now_ms();
-            core.balancer.handle(now_ms, event, &mut actions);
+            state.balancer.handle(now_ms, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(&mut core, now_ms, action);
+                self.execute(&mut state, now_ms, action);
             }
         }
     }
 
-    fn carry_out(self: &Rc<Self>, core: &mut Core, now_ms: f64, action: Action) {
+    fn execute(self: &Rc<Self>, state: &mut DriverState, now_ms: f64, action: Action) {
         match action {
             Action::SendAttempt { id, endpoint, timeout_ms, begin_within_ms } => {
-                let order = AttemptOrder { id, endpoint, timeout_ms, begin_within_ms };
-                self.send_attempt(core, now_ms, order);
+                let parameters = AttemptParameters { id, endpoint, timeout_ms, begin_within_ms };
+                self.send_attempt(state, now_ms, parameters);
             }
-            Action::CancelAttempt { id, attempt } => core.requests.cancel_attempt(id, attempt),
-            Action::Reject { id, retry_after_ms, reason } => core.reject(id, retry_after_ms, reason),
+            Action::CancelAttempt { id, attempt } => state.requests.cancel_attempt(id, attempt),
+            Action::Reject { id, retry_after_ms, reason } => state.reject(id, retry_after_ms, reason),
             Action::Fail { id, reason } => {
-                core.requests.respond(id, Answer::Failed, RequestEnding::Failed(reason));
+                state.requests.respond(id, Answer::Failed, RequestEnding::Failed(reason));
             }
             Action::Timer { token, at_ms } => self.set_timer(token, at_ms),
             Action::CloseIdleConnections(endpoint) => self.upstream.close_idle(endpoint),
@@ -208,30 +215,31 @@
                     peers.send(to, &bytes);
                 }
             }
-            // The watch may have ended with the node.
-            Action::SetWatch(on) => drop(self.watch_requests.send(on)),
+            // The send fails if the watch has ended, as at the end of the process.
+            Action::SetWatch(should_watch) => drop(self.watch_requests.send(should_watch)),
             Action::Log(event) => log::line(&event.to_string()),
         }
     }
 
-    /// Starts a task that ends when the timer is due, or with the process.
+    /// Starts a task that reports the timer when it is due. The end of the process cancels it.
     fn set_timer(self: &Rc<Self>, token: u64, at_ms: f64) {
         let driver = self.clone();
         let due = self.clock.instant(at_ms);
         spawn_local(async move {
             tokio::time::sleep_until(due.into()).await;
-            driver.take(DriverEvent::Timer(token));
+            driver.handle(DriverEvent::Timer(token));
         });
     }
 }
 
-impl Core {
-    /// Whether an endpoint may be sent to at this moment.
+impl DriverState {
+    /// Returns `true` if attempts may be sent to the endpoint: discovery reports it as active, and the
+    /// operators have not disabled it.
     fn is_routable(&self, endpoint: EndpointId) -> bool {
         self.endpoints.is_active(endpoint) && self.balancer.is_in_service(endpoint)
     }
 
-    /// What the invariants need to know of an endpoint that an attempt is to go to.
+    /// Returns the properties of an attempt's endpoint that the invariants depend on.
     fn attempt_target(&self, endpoint: EndpointId) -> AttemptTarget {
         AttemptTarget {
             in_service: self.is_routable(endpoint),
@@ -239,7 +247,8 @@
         }
     }
 
-    /// Notes what happened and says it in the decisions' terms; none where they need not hear of it.
+    /// Updates the tables and converts the event for the balancer. Returns `None` if the balancer must
+    /// not receive the event, for example because its request has ended.
     fn translate(&mut self, event: DriverEvent, upstream: &Upstream, clock: &Clock) -> Option<Event> {
         Some(match event {
             DriverEvent::Start => Event::Start,
@@ -248,22 +257,22 @@
                 endpoints: self.endpoints.apply(update, endpoints, upstream, clock),
             },
             DriverEvent::RequestArrived { request, proxied, responder } => {
-                let open = OpenRequest::new(&request, proxied, responder, clock.now_ms());
-                self.requests.insert(request.id, open);
+                let open_request = OpenRequest::new(&request, proxied, responder, clock.now_ms());
+                self.requests.insert(request.id, open_request);
                 Event::Request(request)
             }
             DriverEvent::ClientDisconnected(id, ending) => {
-                // After the answer this changes nothing.
-                self.requests.get(id).filter(|open| open.awaits_answer())?;
+                // If the request has its answer, this event has no effect.
+                self.requests.get(id).filter(|request| request.awaits_answer())?;
                 self.requests.respond(id, Answer::Failed, ending);
                 Event::ClientDisconnected(id)
             }
             DriverEvent::RequestBodyComplete(id) => {
-                self.requests.get_mut(id)?.shift_to(clock.now_ms());
+                self.requests.get_mut(id)?.shift_times_to(clock.now_ms());
                 Event::RequestBodyComplete(id)
             }
-            DriverEvent::ResponseStarted(response) => self.response_started(response)?,
-            DriverEvent::AttemptEnded(response) => self.attempt_ended(response)?,
+            DriverEvent::ResponseStarted(report) => self.on_response_started(report)?,
+            DriverEvent::AttemptEnded(report) => self.on_attempt_ended(report)?,
             DriverEvent::Timer(token) => Event::Timer(token),
             DriverEvent::Disable(id) => Event::Disable(id),
             DriverEvent::Enable(id) => Event::Enable(id),
@@ -273,44 +282,47 @@
         })
     }
 
-    /// A streamed response has begun: the request is answered with it.
-    fn response_started(&mut self, response: AttemptResponse) -> Option<Event> {
-        let AttemptResponse { id, attempt, endpoint, result, elapsed_ms } = response;
+    /// Answers a request with a streamed response that has started.
+    fn on_response_started(&mut self, report: AttemptReport) -> Option<Event> {
+        let AttemptReport { id, attempt, endpoint, result, elapsed_ms } = report;
         let reply = result.response?;
-        self.requests.get(id).filter(|open| open.awaits_answer())?;
+        self.requests.get(id).filter(|request| request.awaits_answer())?;
         self.requests.respond(id, Answer::Served(reply), RequestEnding::Served);
         Some(Event::ResponseStarted { id, attempt, endpoint, elapsed_ms })
     }
 
-    /// An attempt is over; a request that still waits is answered with its reply, if it brought one.
-    fn attempt_ended(&mut self, response: AttemptResponse) -> Option<Event> {
-        let AttemptResponse { id, attempt, endpoint, result, elapsed_ms } = response;
+    /// Records the end of an attempt. If the attempt has a response and its request no answer yet,
+    /// answers the request with the response.
+    fn on_attempt_ended(&mut self, report: AttemptReport) -> Option<Event> {
+        let AttemptReport { id, attempt, endpoint, result, elapsed_ms } = report;
         let (outcome, load) = (result.outcome, result.load);
-        let open = self.requests.get_mut(id)?;
-        if !open.end_attempt(attempt, outcome) {
+        let open_request = self.requests.get_mut(id)?;
+        if !open_request.end_attempt(attempt, outcome) {
             return None;
         }
         self.counters.count(CounterKind::Attempt, outcome.name());
-        let awaits_answer = open.awaits_answer();
+        let awaits_answer = open_request.awaits_answer();
         let reply = result.response.filter(|_| awaits_answer);
         let request_finished = !awaits_answer || reply.is_some();
         match reply {
             Some(reply) => self.requests.respond(id, Answer::Served(reply), RequestEnding::Served),
-            None => self.requests.remove_if_over(id),
+            None => self.requests.remove_if_closed(id),
         }
         Some(Event::AttemptEnded { id, attempt, endpoint, outcome, request_finished, elapsed_ms, load })
     }
 
-    /// The one place that rejects: a rejection that may do harm becomes a failure.
+    /// Rejects a request. All rejections are sent here. If an invariant forbids the rejection, the
+    /// request fails instead: a rejection invites the client to repeat the request, and an endpoint may
+    /// have executed it already.
     fn reject(&mut self, id: RequestId, retry_after_ms: f64, reason: RejectionReason) {
-        let Some(open) = self.requests.get(id) else { return };
-        match self.guard.may_reject(&open.facts()) {
+        let Some(open_request) = self.requests.get(id) else { return };
+        match self.guard.may_reject(&open_request.facts()) {
             Ok(()) => {
                 let answer = Answer::Rejected { retry_after_ms };
                 self.requests.respond(id, answer, RequestEnding::Rejected(reason));
             }
             Err(violation) => {
-                self.counters.record_violation(violation, open.trace.id());
+                self.counters.record_violation(violation, open_request.trace.id());
                 self.requests.respond(id, Answer::Failed, RequestEnding::Failed(reason));
             }
         }
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -282,7 +282,7 @@
         parsed: ParsedRequest,
         socket: &Socket,
     ) -> Result<ClientResponse, ClientDisconnected> {
-        if self.driver.open_requests() >= self.max_open_requests {
+        if self.driver.open_request_count() >= self.max_open_requests {
             return Ok(full());
         }
         let ParsedRequest { request, proxied, deadline, expires_at, trace_id_guard: _trace_id_guard } =
--- a/src/node/snapshot/takeover.rs
+++ b/src/node/snapshot/takeover.rs
@@ -118,7 +118,7 @@
         let disabled = overrides.disabled();
         log::line(&format!("handover: {} out of service by earlier commands", disabled.len()));
         self.override_revision.set(overrides.revision);
-        disabled.into_iter().for_each(|id| driver.take(DriverEvent::Disable(id)));
+        disabled.into_iter().for_each(|id| driver.handle(DriverEvent::Disable(id)));
     }
 
     /// Returns true if the process that wrote the record had a newer endpoint list than this one has been
@@ -131,7 +131,7 @@
         log::line(&format!("handover: took over from process {pid}: {endpoints} servers{newer_list}"));
         let now_ms = driver.clock.now_ms();
         let snapshot = record.endpoints.iter().map(|endpoint| endpoint.to_snapshot(now_ms)).collect();
-        driver.take(DriverEvent::SnapshotRestored(snapshot));
+        driver.handle(DriverEvent::SnapshotRestored(snapshot));
         self.predecessor.set(Some(record.process));
         self.observe_process(record.process, driver);
         is_behind
@@ -190,7 +190,7 @@
         if stored.revision > self.override_revision.get() {
             self.adopt_overrides(&stored, driver);
         }
-        let current = driver.disabled();
+        let current = driver.disabled_endpoints();
         let mut requested = current.clone();
         let has_changed = if disable { requested.insert(endpoint) } else { requested.remove(&endpoint) };
         if !has_changed && stored.revision == self.override_revision.get() {
@@ -199,7 +199,7 @@
         let revision = stored.revision.max(self.override_revision.get()) + 1;
         self.store_overrides(revision, &requested, &current)?;
         if has_changed {
-            driver.take(if disable {
+            driver.handle(if disable {
                 DriverEvent::Disable(endpoint)
             } else {
                 DriverEvent::Enable(endpoint)
@@ -254,10 +254,10 @@
     /// Applies overrides that another process stored.
     fn adopt_overrides(&self, overrides: &OperatorOverrides, driver: &Rc<Driver>) {
         self.override_revision.set(overrides.revision);
-        let current = driver.disabled();
+        let current = driver.disabled_endpoints();
         let stored = overrides.disabled();
-        stored.difference(&current).for_each(|id| driver.take(DriverEvent::Disable(*id)));
-        current.difference(&stored).for_each(|id| driver.take(DriverEvent::Enable(*id)));
+        stored.difference(&current).for_each(|id| driver.handle(DriverEvent::Disable(*id)));
+        current.difference(&stored).for_each(|id| driver.handle(DriverEvent::Enable(*id)));
         log::line(&format!(
             "handover: adopted override revision {}: {} out of service",
             overrides.revision,
@@ -280,7 +280,9 @@
         } else if stored.revision < revision {
             // The file no longer has overrides that were acknowledged to operators, so they are written
             // again.
-            if let Err(error) = self.write_overrides(revision, &driver.disabled(), Durability::Synced) {
+            if let Err(error) =
+                self.write_overrides(revision, &driver.disabled_endpoints(), Durability::Synced)
+            {
                 log::line(&format!("handover: cannot write the operators' overrides: {error}"));
             }
         }
@@ -314,7 +316,7 @@
             None if self.is_other_running(process) => {
                 log::line(&format!("handover: process {} serves alongside this one", process.pid));
                 self.concurrent_process.set(Some(process));
-                driver.take(DriverEvent::HandoverStarted);
+                driver.handle(DriverEvent::HandoverStarted);
             }
             Some(other) if !self.is_other_running(other) => {
                 log::line(&format!("handover: process {} has ended", other.pid));
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -160,7 +160,7 @@
     PeerAddresses {
         nodes: config.peers.clone(),
         broadcast: config.peer_broadcast,
-        own: config.settings.node_index,
+        own_index: config.settings.node_index,
     }
 }
 
@@ -213,7 +213,7 @@
         let (request_watch, watch_requests) = mpsc::unbounded_channel();
         let driver = Driver::new(balancer, guard, upstream.clone(), sockets.peers.clone(), request_watch);
         let names = Rc::new(config.names);
-        driver.take(DriverEvent::Start);
+        driver.handle(DriverEvent::Start);
         let version = Rc::new(Cell::new(apply_cached_list(&driver, &config.cached_endpoint_list, &names)));
         let takeover = is_listener_shared.then(|| Takeover::new(version.clone()));
         let is_behind = takeover.as_ref().is_some_and(|takeover| take_over(takeover, &driver));
@@ -225,7 +225,7 @@
             descriptors: descriptors.clone(),
             watch_requests,
             version,
-            is_behind,
+            is_list_outdated: is_behind,
             rng: fastrand::Rng::with_seed(!config.seed),
         });
         spawn_background_tasks(
@@ -268,7 +268,7 @@
         let _ = tokio::time::timeout_at(answer_deadline.into(), accept_task).await;
         frontend.wind_down(answer_deadline).await;
         // A failure response is better than a connection that the end of the process cuts.
-        driver.fail_pending();
+        driver.fail_unanswered();
         frontend.wind_down(Instant::now() + SHUTDOWN_WRITE_TIME).await;
         driver.count_unanswered();
         log::urgent(&format!("counters: {}", driver.counters.text()));
@@ -312,7 +312,7 @@
     let list = EndpointList::parse(cached_list, names);
     let version = list.as_ref().and_then(EndpointList::base_version);
     let endpoints = list.map_or_else(Vec::new, |list| list.endpoints);
-    driver.take(DriverEvent::EndpointsChanged { update: WatchUpdate::CachedSnapshot, endpoints });
+    driver.handle(DriverEvent::EndpointsChanged { update: WatchUpdate::CachedSnapshot, endpoints });
     version
 }
 
@@ -329,7 +329,7 @@
 async fn listen_to_peers(peers: Rc<PeerSocket>, driver: Rc<Driver>) {
     loop {
         let message = peers.receive().await;
-        driver.take(DriverEvent::PeerMessage { from: message.from, bytes: message.bytes });
+        driver.handle(DriverEvent::PeerMessage { from: message.from, bytes: message.bytes });
     }
 }
 
