--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,15 +1,21 @@
-//! A balancer under test with its surroundings, which checks the four rules at every action.
+//! Hosts a balancer in tests and checks each of its actions against the rules that it must keep.
 //!
-//! It simulates no endpoints: tests say what happens, and when.
+//! The rules are: every request gets one answer, in time (rule 1); a request that may have run is sent again only
+//! if its class allows that (rule 2); a request is sent only to an endpoint that is in service (rule 3); and the
+//! limits and permissions in the settings hold.
+//!
+//! Endpoints are not simulated: the test decides how and when each attempt ends.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
 use wheelpath::policy::Balancer;
 use wheelpath::policy::*;
 
-/// Time past the client's deadline in which an answer still counts, as the users' bench has it.
-const ANSWER_SLACK_MS: f64 = 20.0;
+/// Time after a request's deadline, in milliseconds, within which its answer still counts as in time. It is
+/// the tolerance of the users' bench.
+const ANSWER_TOLERANCE_MS: f64 = 20.0;
 
+/// Returns a request class whose late answers have no value.
 pub fn class(latency_objective_ms: f64, deadline_ms: f64, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective_ms,
@@ -22,7 +28,7 @@
     }
 }
 
-/// Settings of no deployment.
+/// Returns settings that match no real deployment. The classes cover each kind of idempotency.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -73,7 +79,8 @@
     }
 }
 
-/// The operators' proof that an attempt never ran, written here again so that the module is not its own judge.
+/// Returns whether an outcome proves that the attempt never ran. Repeats the operators' definition on purpose: with
+/// the function of the policy, the checks would not notice an error in it.
 fn proves_not_executed(outcome: Option<AttemptOutcome>) -> bool {
     matches!(
         outcome,
@@ -87,85 +94,97 @@
     Served,
     Rejected,
     Failed,
-    ClientLeft,
+    ClientDisconnected,
 }
 
-/// An attempt that the balancer ordered.
+/// An attempt that the balancer has sent. Times are in milliseconds on the clock of the test node.
 #[derive(Debug)]
 pub struct TrackedAttempt {
     pub endpoint: EndpointId,
     pub sent_at_ms: f64,
     pub times_out_at_ms: f64,
+    /// `None` while the attempt is in flight.
     pub outcome: Option<AttemptOutcome>,
 }
 
-/// A request that the balancer was given.
+/// A request that was passed to the balancer.
 #[derive(Debug)]
 pub struct TrackedRequest {
     pub request: Request,
     pub attempts: Vec<TrackedAttempt>,
+    /// `None` until the request has ended.
     pub answer: Option<Answer>,
-    /// When its last byte came: its times count from there.
+    /// When the last byte of the body arrived, in milliseconds on the clock of the test node. The deadline and the
+    /// times of the attempts count from then.
     pub body_complete_at_ms: f64,
 }
 
-/// One balancer, and the clock, endpoint list, clients and timers around it.
+/// A node with one balancer and a simulated clock, endpoint list, clients and timers. Times are in milliseconds on
+/// that clock.
 pub struct TestNode {
     pub settings: Settings,
     pub balancer: Balancer,
     pub now_ms: f64,
-    pub listed: BTreeMap<EndpointId, EndpointUpdate>,
+    /// Every endpoint that a list has contained, with its latest state.
+    pub known_endpoints: BTreeMap<EndpointId, EndpointUpdate>,
+    /// All requests since the start, including those that have ended.
     pub requests: BTreeMap<RequestId, TrackedRequest>,
+    /// When each pending timer is due, and its token.
     pub timers: Vec<(f64, u64)>,
-    pub logs: Vec<String>,
-    pub polls_at_ms: Vec<f64>,
-    /// When idle connections to an endpoint were last closed.
+    pub log_lines: Vec<String>,
+    /// When the balancer polled discovery, that is, when it returned [`Action::SetWatch`].
+    pub poll_times_ms: Vec<f64>,
+    /// When the idle connections to each endpoint were last closed.
     pub idle_closed_at_ms: BTreeMap<EndpointId, f64>,
-    /// Endpoints that operators have disabled.
-    pub disabled: BTreeSet<EndpointId>,
-    pub trace: Vec<Action>,
-    next_id: u64,
+    /// Endpoints disabled through [`set_disabled`](TestNode::set_disabled).
+    pub disabled_endpoints: BTreeSet<EndpointId>,
+    /// All actions of the balancer since its start, in their order.
+    pub actions: Vec<Action>,
+    last_request_number: u64,
 }
 
 impl TestNode {
+    /// Returns a started node that has no endpoint list. `seed` seeds the balancer's random numbers.
     pub fn new(settings: Settings, seed: u64) -> TestNode {
-        let balancer = Balancer::new(settings.clone(), seed).expect("usable settings");
+        let balancer = Balancer::new(settings.clone(), seed).expect("valid settings");
         let mut node = TestNode {
             settings,
             balancer,
             now_ms: 1000.0,
-            listed: BTreeMap::new(),
+            known_endpoints: BTreeMap::new(),
             requests: BTreeMap::new(),
             timers: Vec::new(),
-            logs: Vec::new(),
-            polls_at_ms: Vec::new(),
+            log_lines: Vec::new(),
+            poll_times_ms: Vec::new(),
             idle_closed_at_ms: BTreeMap::new(),
-            disabled: BTreeSet::new(),
-            trace: Vec::new(),
-            next_id: 0,
+            disabled_endpoints: BTreeSet::new(),
+            actions: Vec::new(),
+            last_request_number: 0,
         };
         node.feed(Event::Start);
         node
     }
 
-    pub fn with_endpoints(s: Settings, seed: u64, count: u64) -> TestNode {
-        let mut node = TestNode::new(s, seed);
+    /// Returns a started node whose list contains the active endpoints 1 to `count`.
+    pub fn with_endpoints(settings: Settings, seed: u64, count: u64) -> TestNode {
+        let mut node = TestNode::new(settings, seed);
         let endpoints = (1..=count).map(active_endpoint).collect();
         node.apply_list(WatchUpdate::Snapshot, endpoints);
         node
     }
 
+    /// Reports an event to the balancer, and checks and records the actions that it returns.
     pub fn feed(&mut self, event: Event) {
-        let mut out = Vec::new();
-        self.balancer.handle(self.now_ms, event, &mut out);
-        for action in &out {
-            self.check(action);
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now_ms, event, &mut actions);
+        for action in &actions {
+            self.check_action(action);
         }
-        self.trace.extend(out);
+        self.actions.extend(actions);
     }
 
-    /// The rules, action by action.
-    fn check(&mut self, action: &Action) {
+    /// Panics if the action breaks a rule; otherwise records its effect.
+    fn check_action(&mut self, action: &Action) {
         match action {
             Action::SendAttempt { id, endpoint, timeout_ms, begin_within_ms } => {
                 self.check_send(*id, *endpoint, *begin_within_ms);
@@ -174,149 +193,184 @@
             Action::Reject { id, retry_after_ms, .. } => self.check_rejection(*id, *retry_after_ms),
             Action::Fail { id, .. } => self.record_answer(*id, Answer::Failed),
             Action::CancelAttempt { id, attempt } => {
-                assert!(self.settings.cancellation_allowed, "cancelling is not allowed");
-                assert!(self.requests[id].attempts.len() > *attempt as usize, "an attempt never made");
+                assert!(
+                    self.settings.cancellation_allowed,
+                    "an attempt was cancelled though the settings do not allow it"
+                );
+                assert!(
+                    self.requests[id].attempts.len() > *attempt as usize,
+                    "an attempt was cancelled that was never sent"
+                );
             }
             Action::Timer { token, at_ms } => self.timers.push((*at_ms, *token)),
             Action::CloseIdleConnections(endpoint) => {
                 assert!(
-                    self.listed.contains_key(endpoint),
-                    "idle connections closed to an endpoint that no list has named"
+                    self.known_endpoints.contains_key(endpoint),
+                    "idle connections were closed to an endpoint that no list has contained"
                 );
                 self.idle_closed_at_ms.insert(*endpoint, self.now_ms);
             }
             Action::SendPeerMessage { .. } => {
-                assert!(self.settings.peer_messages_allowed, "messages are not allowed")
+                assert!(
+                    self.settings.peer_messages_allowed,
+                    "a peer message was sent though the settings do not allow it"
+                )
             }
-            Action::Log(event) => self.logs.push(event.to_string()),
-            Action::SetWatch(_) => self.polls_at_ms.push(self.now_ms),
+            Action::Log(event) => self.log_lines.push(event.to_string()),
+            Action::SetWatch(_) => self.poll_times_ms.push(self.now_ms),
         }
     }
 
     fn check_send(&self, id: RequestId, endpoint: EndpointId, begin_within_ms: f64) {
         let tracked = self.requests.get(&id).expect("a known request");
-        assert!(tracked.answer.is_none(), "rule 1: sent after its end");
-        assert!(tracked.attempts.len() < self.settings.max_attempts as usize, "more attempts than allowed");
-        let entry = self.listed.get(&endpoint).expect("an endpoint that the list has named");
-        assert_eq!(entry.state, EndpointState::Active, "rule 3: sent to a draining or removed endpoint");
-        assert!(!self.disabled.contains(&endpoint), "rule 3: sent to a disabled endpoint");
-        let is_any_in_flight = tracked.attempts.iter().any(|attempt| attempt.outcome.is_none());
-        assert!(self.settings.hedging_allowed || !is_any_in_flight, "rule 2: two attempts at once");
-        if let Some(ran) = tracked.attempts.iter().find(|attempt| !proves_not_executed(attempt.outcome)) {
-            let may_repeat = self.may_repeat(tracked, ran, entry, begin_within_ms);
-            assert!(may_repeat, "rule 2: sent again though it may have run");
+        assert!(tracked.answer.is_none(), "rule 1: the request was sent after it had ended");
+        assert!(
+            tracked.attempts.len() < self.settings.max_attempts as usize,
+            "the request has more attempts than max_attempts"
+        );
+        let target = self.known_endpoints.get(&endpoint).expect("an endpoint that a list has contained");
+        assert_eq!(target.state, EndpointState::Active, "rule 3: sent to a draining or removed endpoint");
+        assert!(!self.disabled_endpoints.contains(&endpoint), "rule 3: sent to a disabled endpoint");
+        let has_attempt_in_flight = tracked.attempts.iter().any(|attempt| attempt.outcome.is_none());
+        assert!(
+            self.settings.hedging_allowed || !has_attempt_in_flight,
+            "rule 2: the request has two attempts in flight though hedging is not allowed"
+        );
+        let may_have_run = |attempt: &&TrackedAttempt| !proves_not_executed(attempt.outcome);
+        if let Some(earlier) = tracked.attempts.iter().find(may_have_run) {
+            let may_repeat = self.may_repeat(tracked, earlier, target, begin_within_ms);
+            assert!(may_repeat, "rule 2: the request was sent again though it may have run");
         }
     }
 
-    /// Whether a request may be sent to an endpoint, after an attempt that may have run.
+    /// Returns whether a request may be sent to `target` after `earlier`, its first attempt that may have run.
     fn may_repeat(
         &self,
         tracked: &TrackedRequest,
-        ran: &TrackedAttempt,
-        to: &EndpointUpdate,
+        earlier: &TrackedAttempt,
+        target: &EndpointUpdate,
         begin_within_ms: f64,
     ) -> bool {
         let class = self.settings.classes.get(tracked.request.class);
-        let first = &self.listed[&ran.endpoint];
+        let earlier_endpoint = &self.known_endpoints[&earlier.endpoint];
         match class.map_or(Idempotency::NotIdempotent, |class| class.idempotency) {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => false,
             Idempotency::WithKey(scope) => {
-                let is_covered = match scope {
+                let is_deduplicated = match scope {
                     DeduplicationScope::All => true,
-                    DeduplicationScope::Zone => first.zone == to.zone,
-                    DeduplicationScope::Cell => first.cell == to.cell,
+                    DeduplicationScope::Zone => earlier_endpoint.zone == target.zone,
+                    DeduplicationScope::Cell => earlier_endpoint.cell == target.cell,
                 };
-                // It may wait for a connection, and begins by then or not at all.
-                let window = class.map_or(0.0, |class| class.deduplication_window_ms);
-                is_covered
-                    && self.now_ms <= ran.sent_at_ms + window
-                    && self.now_ms + begin_within_ms <= ran.sent_at_ms + window + 1e-6
+                // The host may wait for a connection until `begin_within_ms` has passed, and then does not send.
+                let window_ms = class.map_or(0.0, |class| class.deduplication_window_ms);
+                is_deduplicated
+                    && self.now_ms <= earlier.sent_at_ms + window_ms
+                    && self.now_ms + begin_within_ms <= earlier.sent_at_ms + window_ms + 1e-6
             }
         }
     }
 
     fn record_send(&mut self, id: RequestId, endpoint: EndpointId, timeout_ms: f64) {
         let tracked = self.requests.get_mut(&id).expect("a known request");
-        let deadline = tracked.request.deadline_ms;
-        let ends = if timeout_ms > 0.0 { self.now_ms + timeout_ms } else { deadline };
+        let deadline_ms = tracked.request.deadline_ms;
+        let timeout_at_ms = if timeout_ms > 0.0 { self.now_ms + timeout_ms } else { deadline_ms };
         tracked.attempts.push(TrackedAttempt {
             endpoint,
             sent_at_ms: self.now_ms,
-            times_out_at_ms: ends.min(deadline),
+            times_out_at_ms: timeout_at_ms.min(deadline_ms),
             outcome: None,
         });
     }
 
     fn check_rejection(&mut self, id: RequestId, retry_after_ms: f64) {
-        assert!(retry_after_ms <= self.settings.max_retry_after_ms, "advice above the maximum");
-        assert!(self.settings.retry_after_allowed || retry_after_ms == 0.0, "advice where none is sent");
+        assert!(
+            retry_after_ms <= self.settings.max_retry_after_ms,
+            "the retry-after time is above max_retry_after_ms"
+        );
+        assert!(
+            self.settings.retry_after_allowed || retry_after_ms == 0.0,
+            "a rejection has a retry-after time though the settings do not allow one"
+        );
         let tracked = self.requests.get(&id).expect("a known request");
         let class = self.settings.classes.get(tracked.request.class);
         let idempotency = class.map_or(Idempotency::NotIdempotent, |class| class.idempotency);
         let never_ran = tracked.attempts.iter().all(|attempt| proves_not_executed(attempt.outcome));
-        let is_harmless = never_ran
+        let is_retry_harmless = never_ran
             || matches!(
                 idempotency,
                 Idempotency::Idempotent | Idempotency::WithKey(DeduplicationScope::All)
             );
-        assert!(is_harmless, "rule 2: rejected though it may have run");
+        assert!(
+            is_retry_harmless,
+            "rule 2: the request was rejected, which invites a retry, though it may have run"
+        );
         self.record_answer(id, Answer::Rejected);
     }
 
     fn record_answer(&mut self, id: RequestId, answer: Answer) {
         let tracked = self.requests.get_mut(&id).expect("a known request");
-        assert!(tracked.answer.is_none(), "rule 1: two answers");
+        assert!(tracked.answer.is_none(), "rule 1: the request got two answers");
         tracked.answer = Some(answer);
     }
 
+    /// Reports an update of the endpoint list to the balancer.
     pub fn apply_list(&mut self, update: WatchUpdate, endpoints: Vec<EndpointUpdate>) {
         if matches!(update, WatchUpdate::Snapshot | WatchUpdate::CachedSnapshot) {
-            for e in self.listed.values_mut() {
-                e.state = EndpointState::Removed;
+            for known in self.known_endpoints.values_mut() {
+                known.state = EndpointState::Removed;
             }
         }
-        for e in &endpoints {
-            self.listed.insert(e.endpoint, *e);
+        for listed in &endpoints {
+            self.known_endpoints.insert(listed.endpoint, *listed);
         }
         self.feed(Event::EndpointsChanged { update, endpoints });
     }
 
-    /// Disables or enables an endpoint.
-    pub fn set_disabled(&mut self, endpoint: EndpointId, disable: bool) {
-        if disable {
-            self.disabled.insert(endpoint);
+    /// Disables an endpoint, or enables it again, as an operator does.
+    pub fn set_disabled(&mut self, endpoint: EndpointId, is_disabled: bool) {
+        if is_disabled {
+            self.disabled_endpoints.insert(endpoint);
         } else {
-            self.disabled.remove(&endpoint);
+            self.disabled_endpoints.remove(&endpoint);
         }
-        self.feed(if disable { Event::Disable(endpoint) } else { Event::Enable(endpoint) });
+        self.feed(if is_disabled { Event::Disable(endpoint) } else { Event::Enable(endpoint) });
     }
 
+    /// Passes a new request to the balancer, with the deadline of its class, or of 500 ms if the settings have no
+    /// such class.
     pub fn request(&mut self, class: usize, key: Option<u64>) -> RequestId {
-        let deadline = self.settings.classes.get(class).map_or(500.0, |c| c.deadline_ms);
-        self.request_with_deadline(class, key, deadline)
+        let time_to_deadline_ms = self.settings.classes.get(class).map_or(500.0, |class| class.deadline_ms);
+        self.request_with_deadline(class, key, time_to_deadline_ms)
     }
 
-    pub fn request_with_deadline(&mut self, class: usize, key: Option<u64>, given: f64) -> RequestId {
-        self.request_from_client(class, key, given, false)
+    /// Passes a new request to the balancer, whose deadline is `time_to_deadline_ms` from now.
+    pub fn request_with_deadline(
+        &mut self,
+        class: usize,
+        key: Option<u64>,
+        time_to_deadline_ms: f64,
+    ) -> RequestId {
+        self.request_with_retry_mark(class, key, time_to_deadline_ms, false)
     }
 
-    pub fn request_from_client(
+    /// Passes a new request to the balancer. `is_retry` tells whether its client marked it as a retry.
+    pub fn request_with_retry_mark(
         &mut self,
         class: usize,
         key: Option<u64>,
-        given: f64,
-        retry: bool,
+        time_to_deadline_ms: f64,
+        is_retry: bool,
     ) -> RequestId {
-        self.next_id += 1;
-        let id = RequestId(self.next_id);
+        self.last_request_number += 1;
+        let id = RequestId(self.last_request_number);
         let request = Request {
             id,
             class,
             key,
-            deadline_ms: self.now_ms + given,
+            deadline_ms: self.now_ms + time_to_deadline_ms,
             estimated_cost_ms: None,
-            is_retry: retry,
+            is_retry,
             queued_ms: 0.0,
         };
         self.requests.insert(
@@ -332,122 +386,144 @@
         id
     }
 
-    /// The endpoint of a request's attempt in flight.
+    /// Returns the endpoint of the request's attempt in flight, or `None` if no attempt is in flight.
     pub fn endpoint_of(&self, id: RequestId) -> Option<EndpointId> {
-        self.requests[&id].attempts.iter().find(|a| a.outcome.is_none()).map(|a| a.endpoint)
+        self.requests[&id]
+            .attempts
+            .iter()
+            .find(|attempt| attempt.outcome.is_none())
+            .map(|attempt| attempt.endpoint)
     }
 
+    /// Returns how the request ended, or `None` if it has not ended.
     pub fn answer(&self, id: RequestId) -> Option<Answer> {
         self.requests[&id].answer
     }
 
-    /// Ends the attempt in flight of a request.
+    /// Ends the request's attempt in flight, without a load report. Does nothing if no attempt is in flight.
     pub fn end_attempt(&mut self, id: RequestId, outcome: AttemptOutcome) {
         self.end_attempt_with_load(id, outcome, LoadReport::default());
     }
 
-    /// The same, with a load report.
+    /// Ends the request's attempt in flight, with a load report. Does nothing if no attempt is in flight.
     pub fn end_attempt_with_load(&mut self, id: RequestId, outcome: AttemptOutcome, load: LoadReport) {
         let now = self.now_ms;
         let Some(tracked) = self.requests.get_mut(&id) else { return };
-        let Some(n) = tracked.attempts.iter().position(|a| a.outcome.is_none()) else { return };
-        tracked.attempts[n].outcome = Some(outcome);
+        let Some(index) = tracked.attempts.iter().position(|attempt| attempt.outcome.is_none()) else {
+            return;
+        };
+        tracked.attempts[index].outcome = Some(outcome);
         if outcome == AttemptOutcome::Answered && tracked.answer.is_none() {
             tracked.answer = Some(Answer::Served);
         }
-        let last = tracked.answer.is_some();
-        let (endpoint, elapsed_ms) = (tracked.attempts[n].endpoint, now - tracked.attempts[n].sent_at_ms);
+        let request_finished = tracked.answer.is_some();
+        let (endpoint, elapsed_ms) =
+            (tracked.attempts[index].endpoint, now - tracked.attempts[index].sent_at_ms);
         self.feed(Event::AttemptEnded {
             id,
-            attempt: n as u32,
+            attempt: index as u32,
             endpoint,
             outcome,
-            request_finished: last,
+            request_finished,
             elapsed_ms,
             load,
         });
     }
 
-    /// The response to the attempt in flight begins: the request is served, the attempt's end follows later.
+    /// Starts the response to the request's attempt in flight: the request counts as served, and the attempt ends
+    /// later. Does nothing if no attempt is in flight or the request has ended.
     pub fn start_response(&mut self, id: RequestId) {
         let now = self.now_ms;
-        let Some(tracked) = self.requests.get_mut(&id).filter(|a| a.answer.is_none()) else { return };
-        let Some(n) = tracked.attempts.iter().position(|a| a.outcome.is_none()) else { return };
+        let Some(tracked) = self.requests.get_mut(&id).filter(|tracked| tracked.answer.is_none()) else {
+            return;
+        };
+        let Some(index) = tracked.attempts.iter().position(|attempt| attempt.outcome.is_none()) else {
+            return;
+        };
         tracked.answer = Some(Answer::Served);
-        let (endpoint, elapsed_ms) = (tracked.attempts[n].endpoint, now - tracked.attempts[n].sent_at_ms);
-        self.feed(Event::ResponseStarted { id, attempt: n as u32, endpoint, elapsed_ms });
+        let (endpoint, elapsed_ms) =
+            (tracked.attempts[index].endpoint, now - tracked.attempts[index].sent_at_ms);
+        self.feed(Event::ResponseStarted { id, attempt: index as u32, endpoint, elapsed_ms });
     }
 
-    /// The last byte of a request's body has come: its times count from here.
+    /// Completes the body of a request: its deadline and the times of its attempts count from now.
     pub fn complete_body(&mut self, id: RequestId) {
         let now = self.now_ms;
         let Some(tracked) = self.requests.get_mut(&id) else { return };
-        let late = now - tracked.body_complete_at_ms;
+        let delay_ms = now - tracked.body_complete_at_ms;
         tracked.body_complete_at_ms = now;
-        tracked.request.deadline_ms += late;
-        for a in &mut tracked.attempts {
-            (a.sent_at_ms, a.times_out_at_ms) = (a.sent_at_ms + late, a.times_out_at_ms + late);
+        tracked.request.deadline_ms += delay_ms;
+        for attempt in &mut tracked.attempts {
+            (attempt.sent_at_ms, attempt.times_out_at_ms) =
+                (attempt.sent_at_ms + delay_ms, attempt.times_out_at_ms + delay_ms);
         }
         self.feed(Event::RequestBodyComplete(id));
     }
 
+    /// Disconnects the client of a request. A request that has already ended keeps its answer.
     pub fn disconnect_client(&mut self, id: RequestId) {
-        if let Some(a) = self.requests.get_mut(&id) {
-            a.answer.get_or_insert(Answer::ClientLeft);
+        if let Some(tracked) = self.requests.get_mut(&id) {
+            tracked.answer.get_or_insert(Answer::ClientDisconnected);
         }
         self.feed(Event::ClientDisconnected(id));
     }
 
-    /// Moves the clock, with every timer and timeout on the way.
-    pub fn run_to(&mut self, until: f64) {
+    /// Advances the clock, and reports each timer and each attempt's timeout when it is due. Then panics if a request
+    /// is unanswered past its deadline.
+    pub fn advance_to(&mut self, until_ms: f64) {
         loop {
-            let due = self.timers.iter().map(|t| t.0).fold(f64::INFINITY, f64::min);
-            let over = (self.requests.iter())
-                .flat_map(|(id, a)| {
-                    a.attempts.iter().filter(|a| a.outcome.is_none()).map(|s| (s.times_out_at_ms, *id))
+            let timer_due_ms = self.timers.iter().map(|timer| timer.0).fold(f64::INFINITY, f64::min);
+            let next_timeout = (self.requests.iter())
+                .flat_map(|(id, tracked)| {
+                    let in_flight = tracked.attempts.iter().filter(|attempt| attempt.outcome.is_none());
+                    in_flight.map(|attempt| (attempt.times_out_at_ms, *id))
                 })
                 .min_by(|a, b| a.0.total_cmp(&b.0));
-            let ends = over.map_or(f64::INFINITY, |o| o.0);
-            let next = due.min(ends);
-            if next > until {
+            let timeout_due_ms = next_timeout.map_or(f64::INFINITY, |timeout| timeout.0);
+            let next_ms = timer_due_ms.min(timeout_due_ms);
+            if next_ms > until_ms {
                 break;
             }
-            self.now_ms = self.now_ms.max(next);
-            if ends <= due {
-                if let Some((_, id)) = over {
+            self.now_ms = self.now_ms.max(next_ms);
+            if timeout_due_ms <= timer_due_ms {
+                if let Some((_, id)) = next_timeout {
                     self.end_attempt(id, AttemptOutcome::TimedOut);
                 }
-            } else if let Some(n) = self.timers.iter().position(|t| t.0 == due) {
-                let (_, token) = self.timers.swap_remove(n);
+            } else if let Some(index) = self.timers.iter().position(|timer| timer.0 == timer_due_ms) {
+                let (_, token) = self.timers.swap_remove(index);
                 self.feed(Event::Timer(token));
             }
         }
-        self.now_ms = self.now_ms.max(until);
-        for (id, a) in &self.requests {
-            let late = self.now_ms > a.request.deadline_ms + ANSWER_SLACK_MS;
-            assert!(!late || a.answer.is_some(), "rule 1: {id:?} has no answer in time");
+        self.now_ms = self.now_ms.max(until_ms);
+        for (id, tracked) in &self.requests {
+            let is_late = self.now_ms > tracked.request.deadline_ms + ANSWER_TOLERANCE_MS;
+            assert!(!is_late || tracked.answer.is_some(), "rule 1: {id:?} was not answered in time");
         }
     }
 
+    /// Advances the clock by `ms`, as [`advance_to`](TestNode::advance_to) does.
     pub fn wait(&mut self, ms: f64) {
-        self.run_to(self.now_ms + ms);
+        self.advance_to(self.now_ms + ms);
     }
 
-    /// Sends and answers requests for a while, so that the balancer has something to go by.
-    pub fn warm_up(&mut self, requests: u64, class: usize, each_ms: f64) {
-        for n in 0..requests {
-            let id = self.request(class, Some(n % 97));
-            self.wait(each_ms);
+    /// Sends requests for 97 keys one after another and answers each after `answer_ms`, so that the balancer has
+    /// estimates of the load and the answer times.
+    pub fn warm_up(&mut self, requests: u64, class: usize, answer_ms: f64) {
+        for number in 0..requests {
+            let id = self.request(class, Some(number % 97));
+            self.wait(answer_ms);
             self.end_attempt(id, AttemptOutcome::Answered);
         }
     }
 }
 
-pub fn active_endpoint(n: u64) -> EndpointUpdate {
+/// Returns the list entry of endpoint `number`. The endpoints alternate between two zones and three cells, and their
+/// ids are spread over all 64 bits.
+pub fn active_endpoint(number: u64) -> EndpointUpdate {
     EndpointUpdate {
-        endpoint: EndpointId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-        zone: (n % 2) as u16,
-        cell: (n % 3) as u32,
+        endpoint: EndpointId(number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+        zone: (number % 2) as u16,
+        cell: (number % 3) as u32,
         state: EndpointState::Active,
         weight: 1.0,
         started_at_ms: 0.0,
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -133,7 +133,11 @@
     let line = format!(
         "refused: 0 too late, 0 shed, 0 over the in-flight limit, {rejected} without a usable endpoint"
     );
-    assert!(rejected > 0 && node.logs.iter().any(|l| l.starts_with(&line)), "{line}: {:?}", node.logs);
+    assert!(
+        rejected > 0 && node.log_lines.iter().any(|l| l.starts_with(&line)),
+        "{line}: {:?}",
+        node.log_lines
+    );
 }
 
 #[test]
@@ -160,7 +164,7 @@
     let mut node = TestNode::with_endpoints(Settings { classes, clients_mark_retries, ..settings() }, 1, 4);
     let mut play = |given: f64, retry: bool, outcome: AttemptOutcome| {
         let sent = |n| {
-            let id = node.request_from_client(0, Some(n), given, retry);
+            let id = node.request_with_retry_mark(0, Some(n), given, retry);
             node.wait(60.0);
             node.end_attempt(id, outcome);
             !node.requests[&id].attempts.is_empty()
--- a/tests/policy/discovery.rs
+++ b/tests/policy/discovery.rs
@@ -21,12 +21,12 @@
     let mut node = TestNode::new(Settings { discovery: DiscoveryMode::Poll, ..settings() }, 1);
     node.apply_list(WatchUpdate::CachedSnapshot, vec![]);
     node.wait(1.0);
-    assert_eq!(node.polls_at_ms.len(), 1, "without a list it polls at the start");
+    assert_eq!(node.poll_times_ms.len(), 1, "without a list it polls at the start");
     let mut gaps = Vec::new();
     for _ in 0..8 {
-        let (polls, from) = (node.polls_at_ms.len(), node.now_ms);
+        let (polls, from) = (node.poll_times_ms.len(), node.now_ms);
         node.feed(Event::EndpointsChanged { update: WatchUpdate::Failure, endpoints: vec![] });
-        while node.polls_at_ms.len() == polls {
+        while node.poll_times_ms.len() == polls {
             node.wait(50.0);
             assert!(
                 node.now_ms - from <= node.settings.max_poll_interval_ms,
@@ -48,11 +48,11 @@
         node.apply_list(WatchUpdate::CachedSnapshot, vec![active_endpoint(1)]);
         node.wait(max_poll_interval_ms / 2.0);
         for n in 0..40 {
-            let (polls, from) = (node.polls_at_ms.len(), node.now_ms);
+            let (polls, from) = (node.poll_times_ms.len(), node.now_ms);
             node.feed(Event::EndpointsChanged { update: WatchUpdate::Failure, endpoints: vec![] });
             node.wait(10_000.0);
             // A change counts as known after 6 s: time for two pauses and two calls of 2 s, one of which fails.
-            let pause = node.polls_at_ms[polls] - from;
+            let pause = node.poll_times_ms[polls] - from;
             assert!(
                 pause <= 900.0 && pause <= max_poll_interval_ms / 2.0,
                 "{node_count} nodes, {n}: {pause} ms"
@@ -61,7 +61,7 @@
                 pause >= 20.0,
                 "{node_count} nodes, {n}: {pause} ms are too short a pause for discovery"
             );
-            assert_eq!(node.polls_at_ms.len(), polls + 1);
+            assert_eq!(node.poll_times_ms.len(), polls + 1);
         }
     }
 }
@@ -79,13 +79,13 @@
     for node in &mut nodes {
         node.apply_list(WatchUpdate::CachedSnapshot, vec![active_endpoint(1)]);
         node.wait(s.max_poll_interval_ms / 2.0);
-        assert_eq!(node.polls_at_ms.len(), 1, "each polls once, in time");
+        assert_eq!(node.poll_times_ms.len(), 1, "each polls once, in time");
         // All of these calls fail at one moment, and the next ones too.
         node.feed(Event::EndpointsChanged { update: WatchUpdate::Failure, endpoints: vec![] });
         node.wait(s.max_poll_interval_ms / 2.0);
-        assert_eq!(node.polls_at_ms.len(), 2);
+        assert_eq!(node.poll_times_ms.len(), 2);
     }
-    let calls = |n: usize| nodes.iter().map(|node| node.polls_at_ms[n]).collect();
+    let calls = |n: usize| nodes.iter().map(|node| node.poll_times_ms[n]).collect();
     assert!(
         most_polls_within_100_ms(calls(0)) <= 10,
         "{} calls within 100 ms of the start",
@@ -109,7 +109,11 @@
             let mut node = TestNode::new(s.clone(), seed);
             node.apply_list(WatchUpdate::CachedSnapshot, vec![active_endpoint(1)]);
             node.wait(2500.0);
-            assert_eq!(node.polls_at_ms.len(), 1, "{node_count} nodes, seed {seed}: no poll within 2.5 s");
+            assert_eq!(
+                node.poll_times_ms.len(),
+                1,
+                "{node_count} nodes, seed {seed}: no poll within 2.5 s"
+            );
         }
     }
 }
--- a/tests/policy/failure_record.rs
+++ b/tests/policy/failure_record.rs
@@ -14,7 +14,7 @@
     node.end_attempt(id, AttemptOutcome::ConnectionReset);
     let id = node.request(0, Some(1));
     assert_eq!(node.answer(id), Some(Answer::Rejected), "congested: rejected at once");
-    assert!(node.logs.iter().any(|l| l.starts_with("congested")));
+    assert!(node.log_lines.iter().any(|l| l.starts_with("congested")));
 }
 
 #[test]
@@ -32,7 +32,7 @@
         node.end_attempt(id, no_failures[n % 4]);
         node.wait(400.0);
     }
-    assert!(!node.logs.iter().any(|l| l.starts_with("congested")), "{:?}", node.logs);
+    assert!(!node.log_lines.iter().any(|l| l.starts_with("congested")), "{:?}", node.log_lines);
 }
 
 #[test]
@@ -56,8 +56,8 @@
         node.end_attempt(id, AttemptOutcome::ConnectionReset);
         node.wait(11_000.0);
     }
-    let tripped = node.logs.iter().any(|l| l.starts_with("congested"));
-    assert!(!tripped, "one failure in N seconds: {:?}", node.logs);
+    let tripped = node.log_lines.iter().any(|l| l.starts_with("congested"));
+    assert!(!tripped, "one failure in N seconds: {:?}", node.log_lines);
 }
 
 #[test]
@@ -75,7 +75,7 @@
     node.wait(6000.0);
     let trial = node.request(0, Some(1));
     node.end_attempt(trial, AttemptOutcome::Answered);
-    assert!(node.logs.iter().any(|l| l.starts_with("live")));
+    assert!(node.log_lines.iter().any(|l| l.starts_with("live")));
 }
 
 #[test]
@@ -106,7 +106,11 @@
         node.wait(100.0);
         let id = node.request(0, Some(5));
         node.end_attempt(id, AttemptOutcome::TimedOut);
-        assert!(node.logs.iter().any(|l| l.starts_with("congested")), "{nodes} nodes: {:?}", node.logs);
+        assert!(
+            node.log_lines.iter().any(|l| l.starts_with("congested")),
+            "{nodes} nodes: {:?}",
+            node.log_lines
+        );
         let tripped = node.now_ms;
         while node.requests.values().filter(|a| !a.attempts.is_empty()).count() < 2 {
             node.wait(100.0);
@@ -128,7 +132,7 @@
             node.end_attempt(id, AttemptOutcome::TimedOut);
         }
     }
-    let tripped = node.logs.iter().filter(|l| l.starts_with("congested")).count();
+    let tripped = node.log_lines.iter().filter(|l| l.starts_with("congested")).count();
     assert!(tripped <= 5, "{tripped} of 10 congested by a failure of all of them");
 }
 
@@ -141,7 +145,7 @@
     for id in ids {
         node.end_attempt(id, AttemptOutcome::TimedOut);
     }
-    assert!(node.logs.is_empty(), "{:?}", node.logs);
+    assert!(node.log_lines.is_empty(), "{:?}", node.log_lines);
 }
 
 #[test]
@@ -157,7 +161,7 @@
         }
         node.end_attempt(id, AttemptOutcome::Answered);
     }
-    assert!(node.logs.iter().any(|l| l.starts_with("congested")));
+    assert!(node.log_lines.iter().any(|l| l.starts_with("congested")));
     // One trial finds no connection, the next is answered: the list has no restart, this node assumes one.
     for outcome in [AttemptOutcome::ConnectFailed, AttemptOutcome::Answered] {
         let trial = loop {
@@ -172,9 +176,9 @@
         node.end_attempt(trial, AttemptOutcome::Answered);
     }
     assert!(
-        node.logs.iter().any(|l| l.starts_with("live") && l.ends_with("slow start begins")),
+        node.log_lines.iter().any(|l| l.starts_with("live") && l.ends_with("slow start begins")),
         "{:?}",
-        node.logs
+        node.log_lines
     );
     let mut sent = 0;
     for n in 0..100 {
@@ -191,7 +195,7 @@
 fn sent_after_a_failed_trial(outcome: AttemptOutcome) -> usize {
     let mut node = idempotent_node(2);
     node.warm_up(200, 0, 20.0);
-    let logged = |node: &TestNode, word: &str| node.logs.iter().any(|l| l.starts_with(word));
+    let logged = |node: &TestNode, word: &str| node.log_lines.iter().any(|l| l.starts_with(word));
     let (dead, mut trials, mut sent) = (active_endpoint(1).endpoint, 0, 0);
     for n in 0..800 {
         let (congested, live) = (logged(&node, "congested"), logged(&node, "live"));
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -53,7 +53,7 @@
 #[test]
 fn a_repeat_must_begin_within_the_deduplication_window() {
     let within = |node: &TestNode, id| {
-        let sent = node.trace.iter().filter_map(|a| match a {
+        let sent = node.actions.iter().filter_map(|a| match a {
             Action::SendAttempt { id: i, begin_within_ms, .. } if *i == id => Some(*begin_within_ms),
             _ => None,
         });
@@ -89,5 +89,5 @@
         attempts += node.requests[&id].attempts.len();
     }
     assert!(attempts <= 345, "{attempts} attempts for 300 requests");
-    assert!(node.logs.is_empty(), "errors are answers");
+    assert!(node.log_lines.is_empty(), "errors are answers");
 }
--- a/tests/policy/retry_after.rs
+++ b/tests/policy/retry_after.rs
@@ -9,7 +9,7 @@
     let mut node = idempotent_node(1);
     trip(&mut node);
     let id = node.request(0, Some(1));
-    let wait = node.trace.iter().rev().find_map(|a| match a {
+    let wait = node.actions.iter().rev().find_map(|a| match a {
         Action::Reject { id: i, retry_after_ms, .. } if *i == id => Some(*retry_after_ms),
         _ => None,
     });
@@ -18,7 +18,7 @@
     let id = node.request(0, Some(1));
     assert_eq!(node.answer(id), Some(Answer::Rejected), "an empty list rejects");
     let plain = |a: &Action| matches!(a, Action::Reject { id: i, retry_after_ms: 0.0, .. } if *i == id);
-    assert!(node.trace.iter().any(plain));
+    assert!(node.actions.iter().any(plain));
 }
 
 #[test]
@@ -29,7 +29,7 @@
         Action::Reject { retry_after_ms, .. } => Some(*retry_after_ms),
         _ => None,
     };
-    let waits: Vec<f64> = node.trace.iter().filter_map(rejected).collect();
+    let waits: Vec<f64> = node.actions.iter().filter_map(rejected).collect();
     assert!(!waits.is_empty() && waits.len() < ids.len());
     assert!(waits.iter().all(|ms| *ms > 0.0 && *ms <= 200.0), "objective 400 ms: {waits:?}");
 }
--- a/tests/policy/selection.rs
+++ b/tests/policy/selection.rs
@@ -145,7 +145,9 @@
             20,
         );
         (0..200)
-            .filter(|n| serve_key(&mut node, *n, |_| 0.3).is_some_and(|b| node.listed[&b].zone != 0))
+            .filter(|n| {
+                serve_key(&mut node, *n, |_| 0.3).is_some_and(|b| node.known_endpoints[&b].zone != 0)
+            })
             .count()
     };
     let (free, costly) = (far(0.0), far(0.05));
--- a/tests/policy/snapshot.rs
+++ b/tests/policy/snapshot.rs
@@ -22,7 +22,7 @@
             EndpointUpdate { state: EndpointState::Draining, ..active_endpoint(3) },
         ],
     );
-    while !old.logs.iter().any(|l| l.starts_with("congested")) {
+    while !old.log_lines.iter().any(|l| l.starts_with("congested")) {
         let id = old.request(0, Some(1));
         old.end_attempt(id, AttemptOutcome::ConnectionReset);
     }
@@ -112,7 +112,7 @@
         let mut old = grown();
         let mut new = TestNode::new(old.settings.clone(), 2);
         new.now_ms = old.now_ms;
-        new.apply_list(WatchUpdate::CachedSnapshot, old.listed.values().copied().collect());
+        new.apply_list(WatchUpdate::CachedSnapshot, old.known_endpoints.values().copied().collect());
         new.feed(Event::SnapshotRestored(old.balancer.snapshot(old.now_ms)));
         old.feed(Event::HandoverStarted);
         new.feed(Event::HandoverStarted);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -108,7 +108,7 @@
                 node.apply_list(*update, endpoints);
             }
             Step::SetDisabled(index, disabled) => {
-                let listed: Vec<_> = node.listed.keys().copied().collect();
+                let listed: Vec<_> = node.known_endpoints.keys().copied().collect();
                 if let Some(endpoint) = listed.get(index % listed.len().max(1)) {
                     node.set_disabled(*endpoint, *disabled);
                 }
@@ -155,7 +155,7 @@
     for (id, request) in &node.requests {
         assert!(request.answer.is_some(), "rule 1: {id:?} was never answered");
     }
-    node.trace
+    node.actions
 }
 
 /// Returns a runner with a fixed seed, so that every test run uses the same sequences.
