--- a/tests/fleet_slow_start.rs
+++ b/tests/fleet_slow_start.rs
@@ -1,7 +1,12 @@
-//! A restarted endpoint under the sum of what all nodes of a fleet send: many balancers, one list, seeded arrivals.
+//! Simulates a fleet of balancers with a common endpoint list, and checks the load that all of them together put on a
+//! restarted endpoint.
 //!
-//! An endpoint answers at once up to the rate that it can serve, and late beyond. What the nodes send the restarted one
-//! is compared with what the settings allow.
+//! A restarted endpoint fails if it gets more requests than the settings allow during its slow start. No balancer
+//! knows how many requests the others send, so a test with a single balancer cannot show that the sum stays within
+//! the limit.
+//!
+//! Requests arrive at random times, drawn from a seed. An endpoint answers quickly up to the rate that it can serve,
+//! and late beyond that rate.
 mod common;
 
 use common::{active_endpoint, settings};
@@ -12,68 +17,75 @@
     LoadReport, LoadReporting, Request, RequestId, Settings, WatchUpdate,
 };
 
-/// How long an answer takes, and how long beyond what its endpoint can serve: longer than the objective.
+/// Answer time of an endpoint that has capacity left.
 const ANSWER_MS: f64 = 60.0;
+/// Answer time of an endpoint that gets more requests than it can serve; longer than the latency objective of 500 ms.
 const LATE_ANSWER_MS: f64 = 800.0;
-/// How long a connection takes to fail.
+/// Time until an attempt to connect to an absent endpoint fails.
 const CONNECT_FAILURE_MS: f64 = 1.0;
-/// When the endpoint that is watched restarts.
+/// When endpoint 1 restarts, in milliseconds of simulated time.
 const RESTART_MS: f64 = 12_000.0;
-/// The end of the slow start, in which what endpoints get is compared.
+/// Length of the last part of the slow start, in which the traffic of the restarted endpoint is compared with that of
+/// a warm one.
 const LAST_PART_MS: f64 = 2000.0;
-/// What an endpoint can serve is saved up for so long.
-const SAVED_CAPACITY_MS: f64 = 500.0;
-/// Each node's first timers are spread over this time.
+/// An endpoint accumulates unused capacity for up to this time.
+const MAX_SAVED_CAPACITY_MS: f64 = 500.0;
+/// The first timers of the nodes are delayed at random by up to this time, so that the nodes do not act in step.
 const TIMER_SPREAD_MS: f64 = 100.0;
+/// Time from a request's arrival to its deadline.
 const DEADLINE_MS: f64 = 1000.0;
+/// Number of keys of ordinary requests.
 const KEYS: u64 = 800;
 
-/// A time in which more requests come.
+/// A period with more requests than usual.
 #[derive(Clone, Copy)]
 struct Burst {
-    /// From when after the restart, and for how long.
+    /// Start of the period, in milliseconds after the restart.
     from_ms: f64,
     length_ms: f64,
+    /// Request rate relative to the usual one.
     factor: f64,
 }
 
-/// Other endpoints leave.
+/// The removal of other endpoints from the list.
 #[derive(Clone, Copy)]
 struct Departure {
-    /// When after the restart.
+    /// In milliseconds after the restart.
     at_ms: f64,
+    /// Number of removed endpoints.
     endpoints: u64,
 }
 
-/// The restarted endpoint is away before.
+/// A period right before the restart in which connections to the restarting endpoint fail.
 #[derive(Clone, Copy)]
 struct Absence {
     length_ms: f64,
-    /// How late nodes hear of the restart, at most.
+    /// Upper bound of the random delay with which a node learns of the restart.
     list_delay_ms: f64,
 }
 
-/// A fleet and what happens to it.
+/// A fleet, its traffic, and the events of one simulation.
 #[derive(Clone)]
 struct Fleet {
+    /// Number of nodes that run.
     nodes: u32,
-    /// The number of nodes in the settings.
+    /// Number of nodes in the settings.
     configured_nodes: u32,
-    /// Endpoints beside the one that restarts.
+    /// Number of endpoints besides the one that restarts.
     warm_endpoints: u64,
-    /// Offered work, as a part of what all endpoints can serve.
+    /// Request rate, as a share of the rate that all endpoints together can serve.
     load: f64,
     departure: Option<Departure>,
-    /// Part of the requests that are for one key, whose first candidate is the restarted endpoint.
+    /// Share of the requests that have the hot key, whose first candidate is the restarted endpoint.
     hot_share: f64,
     burst: Option<Burst>,
     absence: Option<Absence>,
-    /// All endpoints start when the watched one does, and no request came before.
+    /// All endpoints start at the time of the restart, and no request arrives before.
     all_start_at_once: bool,
     overload_multiple: f64,
     overload_window_ms: f64,
-    /// What a warm endpoint can serve, in requests a second.
-    capacity: f64,
+    /// Rate that a warm endpoint can serve, in requests per second.
+    capacity_per_second: f64,
 }
 
 const FLEET: Fleet = Fleet {
@@ -88,10 +100,10 @@
     all_start_at_once: false,
     overload_multiple: 3.0,
     overload_window_ms: 1000.0,
-    capacity: 12.0,
+    capacity_per_second: 12.0,
 };
 
-/// Hundreds of nodes before some more endpoints.
+/// A fleet of so many nodes that each of them sends only few requests to an endpoint.
 const LARGE_FLEET: Fleet = Fleet { nodes: 300, configured_nodes: 300, warm_endpoints: 30, ..FLEET };
 
 impl Fleet {
@@ -111,8 +123,8 @@
         (1..=self.warm_endpoints + 1).map(active_endpoint).collect()
     }
 
-    /// The list that tells of the restart.
-    fn restart_list(&self) -> Vec<EndpointUpdate> {
+    /// Returns the list update that reports the restart.
+    fn restart_update(&self) -> Vec<EndpointUpdate> {
         let restarted = |endpoint| EndpointUpdate { started_at_ms: RESTART_MS, ..endpoint };
         if self.all_start_at_once {
             self.endpoints().into_iter().map(restarted).collect()
@@ -121,38 +133,40 @@
         }
     }
 
-    /// The list that tells of the departure.
-    fn departure_list(&self) -> Vec<EndpointUpdate> {
+    /// Returns the list update that reports the departure. If all endpoints start at once, none departs, and the update
+    /// repeats the restart.
+    fn departure_update(&self) -> Vec<EndpointUpdate> {
         let Some(departure) = self.departure.filter(|_| !self.all_start_at_once) else {
-            return self.restart_list();
+            return self.restart_update();
         };
-        let removed = |n| EndpointUpdate { state: EndpointState::Removed, ..active_endpoint(n) };
+        let removed = |number| EndpointUpdate { state: EndpointState::Removed, ..active_endpoint(number) };
         (2..2 + departure.endpoints).map(removed).collect()
     }
 
-    /// By how much more requests come at this time.
+    /// Returns the request rate at this time relative to the usual one.
     fn burst_factor(&self, now_ms: f64) -> f64 {
-        let is_now = |burst: &Burst| {
+        let is_in_progress = |burst: &Burst| {
             let from_ms = RESTART_MS + burst.from_ms;
             (from_ms..from_ms + burst.length_ms).contains(&now_ms)
         };
-        self.burst.filter(is_now).map_or(1.0, |burst| burst.factor)
+        self.burst.filter(is_in_progress).map_or(1.0, |burst| burst.factor)
     }
 
+    /// Returns whether connections to the restarting endpoint fail at this time.
     fn is_absent(&self, now_ms: f64) -> bool {
         self.absence.is_some_and(|absence| (RESTART_MS - absence.length_ms..RESTART_MS).contains(&now_ms))
     }
 }
 
-/// What the settings allow a restarted endpoint in one window, in requests of mean work.
-fn allowed_per_window(settings: &Settings, capacity: f64, now_ms: f64) -> f64 {
-    let warmed = ((now_ms - RESTART_MS) / settings.slow_start_ms).clamp(0.0, 1.0);
-    let initial = settings.slow_start_initial_capacity;
-    let share = initial + (1.0 - initial) * warmed;
-    settings.overload_multiple * share * capacity * settings.overload_window_ms / 1000.0
+/// Returns how many requests of mean work the settings allow at the restarted endpoint in one overload window.
+fn allowed_per_window(settings: &Settings, capacity_per_second: f64, now_ms: f64) -> f64 {
+    let progress = ((now_ms - RESTART_MS) / settings.slow_start_ms).clamp(0.0, 1.0);
+    let initial_share = settings.slow_start_initial_capacity;
+    let capacity_share = initial_share + (1.0 - initial_share) * progress;
+    settings.overload_multiple * capacity_share * capacity_per_second * settings.overload_window_ms / 1000.0
 }
 
-/// An attempt that an endpoint will end.
+/// An attempt in flight, and its outcome, which is known when it is sent.
 #[derive(Clone, Copy)]
 struct SentAttempt {
     id: RequestId,
@@ -162,104 +176,113 @@
     sent_at_ms: f64,
 }
 
-/// What is due.
+/// An event of the simulation.
 #[derive(Clone, Copy)]
-enum Due {
+enum FleetEvent {
     Timer {
         token: u64,
     },
     AttemptEnd(SentAttempt),
-    /// The next request of any client comes.
+    /// The next request arrives, at a node that is drawn then.
     Arrival,
-    /// A node hears of the restart.
-    RestartList,
-    /// A node hears of the departure.
-    DepartureList,
+    /// A node learns of the restart.
+    RestartUpdate,
+    /// A node learns of the departure.
+    DepartureUpdate,
 }
 
-/// What is due at a node, and when.
-struct Scheduled {
+/// An event that is due at a node.
+struct ScheduledEvent {
     at_ms: f64,
-    /// Of things due at once the one that was scheduled first comes first.
+    /// Number of the event in the order of scheduling, in which events with the same time are handled.
     number: u64,
+    /// Index of the node; not used by an arrival.
     node: usize,
-    due: Due,
+    event: FleetEvent,
 }
 
-impl PartialEq for Scheduled {
-    fn eq(&self, other: &Scheduled) -> bool {
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Scheduled {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Scheduled {
-    fn partial_cmp(&self, other: &Scheduled) -> Option<Ordering> {
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Scheduled {
-    fn cmp(&self, other: &Scheduled) -> Ordering {
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> Ordering {
         self.at_ms.total_cmp(&other.at_ms).then(self.number.cmp(&other.number))
     }
 }
 
-/// What an endpoint can serve at this moment, in requests.
+/// The capacity that an endpoint has accumulated and not used.
 #[derive(Default)]
 struct SavedCapacity {
+    /// At `updated_at_ms`.
     requests: f64,
     updated_at_ms: f64,
 }
 
 impl SavedCapacity {
-    /// Uses up one request's worth, if that is there; `per_ms` is what comes in.
-    fn take(&mut self, now_ms: f64, per_ms: f64) -> bool {
-        let saved = self.requests + (now_ms - self.updated_at_ms) * per_ms;
-        self.requests = saved.min((per_ms * SAVED_CAPACITY_MS).max(1.0));
+    /// Adds the capacity since the last update, takes the capacity for one request, and returns whether there was
+    /// enough. The rate is the number of requests that the endpoint can serve per millisecond.
+    fn take_request(&mut self, now_ms: f64, rate_per_ms: f64) -> bool {
+        let saved = self.requests + (now_ms - self.updated_at_ms) * rate_per_ms;
+        self.requests = saved.min((rate_per_ms * MAX_SAVED_CAPACITY_MS).max(1.0));
         self.updated_at_ms = now_ms;
-        let is_there = self.requests >= 1.0;
-        self.requests -= f64::from(u8::from(is_there));
-        is_there
+        let is_sufficient = self.requests >= 1.0;
+        self.requests -= f64::from(u8::from(is_sufficient));
+        is_sufficient
     }
 }
 
-/// A request that the restarted endpoint got.
+/// An attempt that was sent to the restarted endpoint after its restart.
 struct SentToRestarted {
     at_ms: f64,
-    /// Its node had heard of the restart.
-    is_notified: bool,
+    /// Whether the node had learned of the restart.
+    is_node_notified: bool,
 }
 
-/// What was sent.
+/// The result of a simulation.
 struct Figures {
-    /// The most that was sent in one window beyond what is allowed and what is put down to chance.
+    /// Number of requests by which the worst overload window exceeded the limit and the tolerance for chance. Negative
+    /// if no window exceeded them.
     excess: f64,
-    /// What the restarted endpoint got in the last part of its slow start.
+    /// Requests that the restarted endpoint got in the last part of its slow start.
     restarted: f64,
-    /// What a warm one got then.
+    /// Mean number of requests that a warm endpoint got in that part.
     warm: f64,
 }
 
-/// The nodes of a fleet, and what is due at them.
+/// The state of one simulation.
 struct Simulation<'a> {
     fleet: &'a Fleet,
     settings: Settings,
     rng: fastrand::Rng,
     nodes: Vec<Balancer>,
-    /// Which nodes have heard of the restart.
-    is_notified: Vec<bool>,
-    /// The part of the traffic that a node gets; some get several times the mean.
-    traffic: Vec<f64>,
-    queue: BinaryHeap<Reverse<Scheduled>>,
-    scheduled: u64,
+    /// For each node whether it has learned of the restart.
+    are_notified: Vec<bool>,
+    /// Relative share of the traffic that each node gets: at random 0.3 to 1.7.
+    traffic_shares: Vec<f64>,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// Number of events that have been scheduled.
+    scheduled_count: u64,
     hot_key: u64,
-    requests: u64,
-    attempts: HashMap<RequestId, u32>,
-    capacities: HashMap<EndpointId, SavedCapacity>,
+    /// Number of requests that have arrived.
+    request_count: u64,
+    /// Number of attempts of each request.
+    attempt_counts: HashMap<RequestId, u32>,
+    saved_capacities: HashMap<EndpointId, SavedCapacity>,
+    /// In the order of sending.
     sent_to_restarted: Vec<SentToRestarted>,
-    sent_to_warm: u64,
+    /// Number of attempts that all other endpoints together got in the last part of the slow start.
+    sent_to_warm_count: u64,
 }
 
 impl<'a> Simulation<'a> {
@@ -269,103 +292,105 @@
             settings: fleet.settings(),
             rng: fastrand::Rng::with_seed(seed),
             nodes: Vec::new(),
-            is_notified: vec![false; fleet.nodes as usize],
-            traffic: Vec::new(),
+            are_notified: vec![false; fleet.nodes as usize],
+            traffic_shares: Vec::new(),
             queue: BinaryHeap::new(),
-            scheduled: 0,
-            hot_key: key_of_restarted(fleet),
-            requests: 0,
-            attempts: HashMap::new(),
-            capacities: HashMap::new(),
+            scheduled_count: 0,
+            hot_key: find_hot_key(fleet),
+            request_count: 0,
+            attempt_counts: HashMap::new(),
+            saved_capacities: HashMap::new(),
             sent_to_restarted: Vec::new(),
-            sent_to_warm: 0,
+            sent_to_warm_count: 0,
         };
         for node in 0..fleet.nodes as usize {
             simulation.start_node(node, seed);
         }
-        let traffic = (0..fleet.nodes).map(|_| 0.3 + simulation.rng.f64() * 1.4).collect();
-        simulation.traffic = traffic;
+        let traffic_shares = (0..fleet.nodes).map(|_| 0.3 + simulation.rng.f64() * 1.4).collect();
+        simulation.traffic_shares = traffic_shares;
         let first_arrival_ms = if fleet.all_start_at_once { RESTART_MS } else { 0.0 };
-        simulation.schedule(first_arrival_ms, 0, Due::Arrival);
+        simulation.schedule(first_arrival_ms, 0, FleetEvent::Arrival);
         simulation
     }
 
     fn start_node(&mut self, node: usize, seed: u64) {
         let endpoints = if self.fleet.all_start_at_once { Vec::new() } else { self.fleet.endpoints() };
         let seed = seed * 1000 + node as u64;
-        let (balancer, actions) = started_node(&self.settings, seed, endpoints);
+        let (balancer, actions) = start_balancer(&self.settings, seed, endpoints);
         self.nodes.push(balancer);
         for action in actions {
             if let Action::Timer { token, at_ms } = action {
                 let at_ms = at_ms + self.rng.f64() * TIMER_SPREAD_MS;
-                self.schedule(at_ms, node, Due::Timer { token });
+                self.schedule(at_ms, node, FleetEvent::Timer { token });
             }
         }
         let delay_ms = self.fleet.absence.map_or(0.0, |absence| absence.list_delay_ms * self.rng.f64());
-        self.schedule(RESTART_MS + delay_ms, node, Due::RestartList);
+        self.schedule(RESTART_MS + delay_ms, node, FleetEvent::RestartUpdate);
         if let Some(departure) = self.fleet.departure {
-            self.schedule(RESTART_MS + departure.at_ms, node, Due::DepartureList);
+            self.schedule(RESTART_MS + departure.at_ms, node, FleetEvent::DepartureUpdate);
         }
     }
 
-    fn schedule(&mut self, at_ms: f64, node: usize, due: Due) {
-        self.scheduled += 1;
-        self.queue.push(Reverse(Scheduled { at_ms, number: self.scheduled, node, due }));
+    fn schedule(&mut self, at_ms: f64, node: usize, event: FleetEvent) {
+        self.scheduled_count += 1;
+        self.queue.push(Reverse(ScheduledEvent { at_ms, number: self.scheduled_count, node, event }));
     }
 
+    /// Returns the end of the slow start, at which the simulation ends.
     fn end_ms(&self) -> f64 {
         RESTART_MS + self.settings.slow_start_ms
     }
 
     fn run(mut self) -> Figures {
-        while let Some(Reverse(Scheduled { at_ms, node, due, .. })) = self.queue.pop() {
+        while let Some(Reverse(ScheduledEvent { at_ms, node, event, .. })) = self.queue.pop() {
             if at_ms > self.end_ms() {
                 break;
             }
-            self.handle(at_ms, node, due);
+            self.handle(at_ms, node, event);
         }
         self.figures()
     }
 
-    fn handle(&mut self, now_ms: f64, node: usize, due: Due) {
-        match due {
-            Due::Timer { token } => self.feed(now_ms, node, Event::Timer(token)),
-            Due::AttemptEnd(sent) => self.feed(now_ms, node, attempt_ended(now_ms, &sent)),
-            Due::Arrival => self.arrive(now_ms),
-            Due::RestartList => self.apply_list(now_ms, node, self.fleet.restart_list()),
-            Due::DepartureList => self.apply_list(now_ms, node, self.fleet.departure_list()),
+    fn handle(&mut self, now_ms: f64, node: usize, event: FleetEvent) {
+        match event {
+            FleetEvent::Timer { token } => self.feed(now_ms, node, Event::Timer(token)),
+            FleetEvent::AttemptEnd(sent) => self.feed(now_ms, node, attempt_ended(now_ms, &sent)),
+            FleetEvent::Arrival => self.arrive(now_ms),
+            FleetEvent::RestartUpdate => self.apply_list(now_ms, node, self.fleet.restart_update()),
+            FleetEvent::DepartureUpdate => self.apply_list(now_ms, node, self.fleet.departure_update()),
         }
     }
 
     fn apply_list(&mut self, now_ms: f64, node: usize, endpoints: Vec<EndpointUpdate>) {
-        self.is_notified[node] = true;
+        self.are_notified[node] = true;
         let update = WatchUpdate::Delta;
         self.feed(now_ms, node, Event::EndpointsChanged { update, endpoints });
     }
 
-    /// A request comes to a node by its part of the traffic, and the next arrival is drawn.
+    /// Passes a request to a node, which is drawn in proportion to the traffic shares, and schedules the next arrival
+    /// after an exponentially distributed time.
     fn arrive(&mut self, now_ms: f64) {
         let endpoints = (self.fleet.warm_endpoints + 1) as f64;
-        let per_ms = self.fleet.load * self.fleet.capacity * endpoints / 1000.0;
-        let rate = per_ms * self.fleet.burst_factor(now_ms);
-        let gap_ms = -self.rng.f64().max(1e-12).ln() / rate;
-        self.schedule(now_ms + gap_ms, 0, Due::Arrival);
+        let usual_rate_per_ms = self.fleet.load * self.fleet.capacity_per_second * endpoints / 1000.0;
+        let rate_per_ms = usual_rate_per_ms * self.fleet.burst_factor(now_ms);
+        let gap_ms = -self.rng.f64().max(1e-12).ln() / rate_per_ms;
+        self.schedule(now_ms + gap_ms, 0, FleetEvent::Arrival);
         let node = self.draw_node();
-        self.requests += 1;
+        self.request_count += 1;
         let is_hot = self.rng.f64() < self.fleet.hot_share;
         let key = if is_hot { self.hot_key } else { self.rng.u64(..KEYS) };
-        let request = request(self.requests, key, now_ms + DEADLINE_MS);
+        let request = request(self.request_count, key, now_ms + DEADLINE_MS);
         self.feed(now_ms, node, Event::Request(request));
     }
 
     fn draw_node(&mut self) -> usize {
-        let total: f64 = self.traffic.iter().sum();
+        let total: f64 = self.traffic_shares.iter().sum();
         let mut draw = self.rng.f64() * total;
-        let is_drawn = |part: &f64| {
-            draw -= part;
+        let is_drawn = |share: &f64| {
+            draw -= share;
             draw < 0.0
         };
-        self.traffic.iter().position(is_drawn).unwrap_or(0)
+        self.traffic_shares.iter().position(is_drawn).unwrap_or(0)
     }
 
     fn feed(&mut self, now_ms: f64, node: usize, event: Event) {
@@ -373,28 +398,29 @@
         self.nodes[node].handle(now_ms, event, &mut actions);
         for action in actions {
             match action {
-                Action::Timer { token, at_ms } => self.schedule(at_ms, node, Due::Timer { token }),
+                Action::Timer { token, at_ms } => self.schedule(at_ms, node, FleetEvent::Timer { token }),
                 Action::SendAttempt { id, endpoint, .. } => self.send(now_ms, node, id, endpoint),
                 _ => {}
             }
         }
     }
 
-    /// Sends an attempt: its endpoint answers in time as far as it can serve.
+    /// Sends an attempt and schedules its end. The answer is late if the endpoint has no capacity left.
     fn send(&mut self, now_ms: f64, node: usize, id: RequestId, endpoint: EndpointId) {
-        let number = self.attempts.entry(id).or_default();
-        let attempt = *number;
-        *number += 1;
-        let is_watched = endpoint == active_endpoint(1).endpoint;
-        let is_restarted = is_watched && now_ms >= RESTART_MS;
-        let per_ms = if is_restarted {
-            let allowed = allowed_per_window(&self.settings, self.fleet.capacity, now_ms);
+        let attempt_count = self.attempt_counts.entry(id).or_default();
+        let attempt = *attempt_count;
+        *attempt_count += 1;
+        let is_restarting_endpoint = endpoint == active_endpoint(1).endpoint;
+        let is_restarted = is_restarting_endpoint && now_ms >= RESTART_MS;
+        let rate_per_ms = if is_restarted {
+            let allowed = allowed_per_window(&self.settings, self.fleet.capacity_per_second, now_ms);
             allowed / self.settings.overload_multiple / self.settings.overload_window_ms
         } else {
-            self.fleet.capacity / 1000.0
+            self.fleet.capacity_per_second / 1000.0
         };
-        let has_capacity = self.capacities.entry(endpoint).or_default().take(now_ms, per_ms);
-        let (takes_ms, outcome) = if is_watched && self.fleet.is_absent(now_ms) {
+        let has_capacity =
+            self.saved_capacities.entry(endpoint).or_default().take_request(now_ms, rate_per_ms);
+        let (duration_ms, outcome) = if is_restarting_endpoint && self.fleet.is_absent(now_ms) {
             (CONNECT_FAILURE_MS, AttemptOutcome::ConnectFailed)
         } else if has_capacity {
             (ANSWER_MS, AttemptOutcome::Answered)
@@ -402,12 +428,12 @@
             (LATE_ANSWER_MS, AttemptOutcome::Answered)
         };
         let sent = SentAttempt { id, attempt, endpoint, outcome, sent_at_ms: now_ms };
-        self.schedule(now_ms + takes_ms, node, Due::AttemptEnd(sent));
+        self.schedule(now_ms + duration_ms, node, FleetEvent::AttemptEnd(sent));
         if is_restarted {
-            let is_notified = self.is_notified[node];
-            self.sent_to_restarted.push(SentToRestarted { at_ms: now_ms, is_notified });
+            let is_node_notified = self.are_notified[node];
+            self.sent_to_restarted.push(SentToRestarted { at_ms: now_ms, is_node_notified });
         } else if now_ms >= self.end_ms() - LAST_PART_MS {
-            self.sent_to_warm += 1;
+            self.sent_to_warm_count += 1;
         }
     }
 
@@ -415,25 +441,27 @@
         let last_part_ms = self.end_ms() - LAST_PART_MS;
         let in_last_part = self.sent_to_restarted.iter().filter(|sent| sent.at_ms >= last_part_ms);
         let departed = self.fleet.departure.map_or(0, |departure| departure.endpoints);
-        let staying = (self.fleet.warm_endpoints - departed) as f64;
+        let remaining_endpoints = (self.fleet.warm_endpoints - departed) as f64;
         Figures {
             excess: self.excess(),
             restarted: in_last_part.count() as f64,
-            warm: self.sent_to_warm as f64 / staying.max(1.0),
+            warm: self.sent_to_warm_count as f64 / remaining_endpoints.max(1.0),
         }
     }
 
-    /// The most that was sent in one window beyond what is allowed and two deviations of chance.
+    /// Returns by how many requests the worst overload window exceeds the allowed number and the tolerance for chance,
+    /// which is two standard deviations and two requests.
     fn excess(&self) -> f64 {
         let mut excess = f64::NEG_INFINITY;
         for (index, last) in self.sent_to_restarted.iter().enumerate() {
-            let from_ms = last.at_ms - self.settings.overload_window_ms;
+            let window_start_ms = last.at_ms - self.settings.overload_window_ms;
             let before = self.sent_to_restarted[..=index].iter().rev();
-            let window: Vec<_> = before.take_while(|sent| sent.at_ms > from_ms).collect();
-            let notified = window.iter().filter(|sent| sent.is_notified).count();
-            let allowed = allowed_per_window(&self.settings, self.fleet.capacity, last.at_ms);
-            // Nodes that have not heard of the restart are not to blame for what they send.
-            if 3 * notified > 2 * window.len() {
+            let window: Vec<_> = before.take_while(|sent| sent.at_ms > window_start_ms).collect();
+            let sent_by_notified = window.iter().filter(|sent| sent.is_node_notified).count();
+            let allowed = allowed_per_window(&self.settings, self.fleet.capacity_per_second, last.at_ms);
+            // Nodes that have not learned of the restart cannot limit their rate: a window counts only if more than two
+            // thirds of its requests are from nodes that have.
+            if 3 * sent_by_notified > 2 * window.len() {
                 excess = excess.max(window.len() as f64 - allowed - 2.0 * allowed.sqrt() - 2.0);
             }
         }
@@ -441,8 +469,12 @@
     }
 }
 
-/// A node that has started with a list, and the actions that it asked for.
-fn started_node(settings: &Settings, seed: u64, endpoints: Vec<EndpointUpdate>) -> (Balancer, Vec<Action>) {
+/// Returns a balancer that has started and has an endpoint list, and the actions that it has returned.
+fn start_balancer(
+    settings: &Settings,
+    seed: u64,
+    endpoints: Vec<EndpointUpdate>,
+) -> (Balancer, Vec<Action>) {
     let mut balancer = Balancer::new(settings.clone(), seed).unwrap();
     let mut actions = Vec::new();
     balancer.handle(0.0, Event::Start, &mut actions);
@@ -451,14 +483,15 @@
     (balancer, actions)
 }
 
-/// A key that has the restarted endpoint as its first candidate, found by where a node of its own sends it.
-fn key_of_restarted(fleet: &Fleet) -> u64 {
-    let watched = active_endpoint(1).endpoint;
+/// Returns a key whose first candidate is the restarted endpoint. Tries keys on new balancers until one sends the
+/// request there.
+fn find_hot_key(fleet: &Fleet) -> u64 {
+    let restarting_endpoint = active_endpoint(1).endpoint;
     let is_sent_there = |key: &u64| {
-        let (mut balancer, _) = started_node(&fleet.settings(), 1, fleet.endpoints());
+        let (mut balancer, _) = start_balancer(&fleet.settings(), 1, fleet.endpoints());
         let mut actions = Vec::new();
         balancer.handle(1.0, Event::Request(request(1, *key, DEADLINE_MS)), &mut actions);
-        matches!(actions[..], [Action::SendAttempt { endpoint, .. }, ..] if endpoint == watched)
+        matches!(actions[..], [Action::SendAttempt { endpoint, .. }, ..] if endpoint == restarting_endpoint)
     };
     (0..).find(is_sent_there).unwrap()
 }
@@ -487,19 +520,21 @@
     }
 }
 
-fn play(fleet: &Fleet, seed: u64) -> Figures {
+fn simulate(fleet: &Fleet, seed: u64) -> Figures {
     Simulation::new(fleet, seed).run()
 }
 
-/// A fleet and what is to be said of it where it fails.
+/// A fleet, and its name in failure messages.
 struct Case {
     name: &'static str,
     fleet: Fleet,
 }
 
+/// Returns the fleet without further events, and with each kind of event and traffic that could increase the load on
+/// the restarted endpoint.
 fn cases_of(fleet: &Fleet) -> Vec<Case> {
     let base = || fleet.clone();
-    let leave = |at_ms, endpoints| Some(Departure { at_ms, endpoints });
+    let departure = |at_ms, endpoints| Some(Departure { at_ms, endpoints });
     let all = fleet.warm_endpoints;
     let burst = Burst { from_ms: 8000.0, length_ms: 3000.0, factor: 4.0 };
     let absence = Absence { length_ms: 3000.0, list_delay_ms: 2000.0 };
@@ -508,28 +543,40 @@
         case("no other event", base()),
         case("a hot key", Fleet { hot_share: 0.3, ..base() }),
         case("a burst", Fleet { burst: Some(burst), ..base() }),
-        case("most others leave", Fleet { departure: leave(6000.0, all * 2 / 3), ..base() }),
-        case("all others leave early", Fleet { departure: leave(500.0, all), ..base() }),
-        case("all others leave late", Fleet { departure: leave(12_000.0, all), ..base() }),
+        case("most other endpoints leave", Fleet { departure: departure(6000.0, all * 2 / 3), ..base() }),
+        case("all other endpoints leave early", Fleet { departure: departure(500.0, all), ..base() }),
+        case("all other endpoints leave late", Fleet { departure: departure(12_000.0, all), ..base() }),
         case(
-            "all others leave late, under load",
-            Fleet { departure: leave(12_000.0, all), load: 0.9, overload_multiple: 1.5, ..base() },
+            "all other endpoints leave late, under high load",
+            Fleet { departure: departure(12_000.0, all), load: 0.9, overload_multiple: 1.5, ..base() },
         ),
         case(
-            "all others but one leave",
-            Fleet { departure: leave(300.0, all - 1), load: 0.9, overload_multiple: 1.5, ..base() },
+            "all other endpoints but one leave",
+            Fleet { departure: departure(300.0, all - 1), load: 0.9, overload_multiple: 1.5, ..base() },
         ),
         case("half of the nodes are down", Fleet { nodes: fleet.nodes / 2, ..base() }),
-        case("back while the list is late", Fleet { absence: Some(absence), ..base() }),
-        case("little room above its usual rate", Fleet { overload_multiple: 1.5, load: 0.9, ..base() }),
-        case("all start at once", Fleet { all_start_at_once: true, ..base() }),
-        case("all start at once, overloaded", Fleet { all_start_at_once: true, load: 1.5, ..base() }),
-        case("all start at once, small", Fleet { all_start_at_once: true, capacity: 5.0, ..base() }),
-        case("a long window", Fleet { overload_window_ms: 3000.0, hot_share: 0.2, ..base() }),
+        case(
+            "connections succeed before the list reports the restart",
+            Fleet { absence: Some(absence), ..base() },
+        ),
+        case("high load, low overload multiple", Fleet { overload_multiple: 1.5, load: 0.9, ..base() }),
+        case("all endpoints start at once", Fleet { all_start_at_once: true, ..base() }),
+        case(
+            "all endpoints start at once, overloaded",
+            Fleet { all_start_at_once: true, load: 1.5, ..base() },
+        ),
+        case(
+            "all endpoints start at once, low capacity",
+            Fleet { all_start_at_once: true, capacity_per_second: 5.0, ..base() },
+        ),
+        case(
+            "a long overload window and a hot key",
+            Fleet { overload_window_ms: 3000.0, hot_share: 0.2, ..base() },
+        ),
     ]
 }
 
-/// Few nodes, each of which sends a large part.
+/// Returns fleets of few nodes, each of which sends a large part of the traffic.
 fn cases_of_few_nodes() -> Vec<Case> {
     let fleet = |nodes| Fleet {
         nodes,
@@ -542,33 +589,47 @@
     [2, 6, 20, 30].map(|nodes| Case { name: "few nodes", fleet: fleet(nodes) }).into()
 }
 
+/// Guards against slow-start budgets that are right for one node but whose sum over all nodes overloads the restarted
+/// endpoint, for example when the other endpoints leave and their traffic moves to it.
 #[test]
 fn all_nodes_together_do_not_overload_a_restarted_endpoint() {
     let cases = [cases_of(&FLEET), cases_of_few_nodes(), cases_of(&LARGE_FLEET)];
     for Case { name, fleet } in cases.iter().flatten() {
         for seed in 1..=if fleet.nodes < 100 { 2 } else { 1 } {
-            let excess = play(fleet, seed).excess;
-            assert!(excess <= 0.0, "{name}, {} nodes, seed {seed}: {excess:.1} too many", fleet.nodes);
+            let excess = simulate(fleet, seed).excess;
+            assert!(
+                excess <= 0.0,
+                "{name}, {} nodes, seed {seed}: {excess:.1} requests too many in one window",
+                fleet.nodes
+            );
         }
     }
 }
 
+/// Guards against a slow start that keeps a fleet nearly closed when all endpoints are new: no warm endpoint shows how
+/// much load is usual.
 #[test]
 fn a_fleet_whose_endpoints_all_start_at_once_serves() {
     for nodes in [2, 6, 25] {
-        let opening = Fleet { nodes, configured_nodes: nodes, all_start_at_once: true, ..FLEET };
-        let usual = Fleet { all_start_at_once: false, ..opening.clone() };
-        let (restarted, warm) = (play(&opening, 1).restarted, play(&usual, 1).warm);
-        assert!(restarted > 0.5 * warm, "{nodes} nodes: {restarted} of {warm}");
+        let all_new = Fleet { nodes, configured_nodes: nodes, all_start_at_once: true, ..FLEET };
+        let all_warm_but_one = Fleet { all_start_at_once: false, ..all_new.clone() };
+        let (restarted, warm) = (simulate(&all_new, 1).restarted, simulate(&all_warm_but_one, 1).warm);
+        assert!(restarted > 0.5 * warm, "{nodes} nodes: {restarted} requests, a warm endpoint gets {warm}");
     }
 }
 
+/// Guards against a slow start that is too cautious: the restarted endpoint must get a good part of a warm one's
+/// traffic by the end of its slow start.
 #[test]
 fn a_restarted_endpoint_warms_up_and_serves() {
-    for (fleet, least) in [(FLEET, 0.25), (LARGE_FLEET, 0.15)] {
-        let figures: Vec<Figures> = (1..=6).map(|seed| play(&fleet, seed)).collect();
+    for (fleet, min_share) in [(FLEET, 0.25), (LARGE_FLEET, 0.15)] {
+        let figures: Vec<Figures> = (1..=6).map(|seed| simulate(&fleet, seed)).collect();
         let restarted: f64 = figures.iter().map(|figures| figures.restarted).sum();
         let warm: f64 = figures.iter().map(|figures| figures.warm).sum();
-        assert!(restarted > least * warm, "{} nodes: {restarted} of {warm}", fleet.nodes);
+        assert!(
+            restarted > min_share * warm,
+            "{} nodes: {restarted} requests, warm endpoints get {warm}",
+            fleet.nodes
+        );
     }
 }
