--- a/tests/policy/failure_record.rs
+++ b/tests/policy/failure_record.rs
@@ -1,7 +1,7 @@
 //! When an endpoint counts as congested, and how trials end that.
 
 use crate::common::{Answer, TestNode, active_endpoint, settings};
-use crate::support::{idempotent_node, trip};
+use crate::support::{idempotent_node, make_congested};
 use wheelpath::policy::{AttemptOutcome, Settings};
 
 #[test]
@@ -63,7 +63,7 @@
 #[test]
 fn after_prat_one_trial_decides() {
     let mut node = idempotent_node(1);
-    trip(&mut node);
+    make_congested(&mut node);
     node.wait(3000.0);
     let trial = node.request(0, Some(1));
     assert!(node.endpoint_of(trial).is_some());
@@ -81,7 +81,7 @@
 #[test]
 fn the_trial_is_a_request_that_may_be_repeated() {
     let mut node = TestNode::with_endpoints(settings(), 1, 1);
-    trip(&mut node);
+    make_congested(&mut node);
     node.wait(3000.0);
     let not_idempotent = node.request(1, Some(1));
     assert_eq!(
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,5 @@
-//! The decisions, rule by rule: one small test for each transition of the design and for each fault found.
+//! Tests the decisions of a balancer, with one module for each part of the policy. There is a small test for each state
+//! transition of the design and for each fault that was found.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/policy/retry_after.rs
+++ b/tests/policy/retry_after.rs
@@ -1,13 +1,13 @@
 //! When a rejected client is asked to come back.
 
 use crate::common::{Answer, TestNode, settings};
-use crate::support::{idempotent_node, trip};
+use crate::support::{idempotent_node, make_congested};
 use wheelpath::policy::{Action, Settings};
 
 #[test]
 fn a_rejection_carries_a_retry_after_time() {
     let mut node = idempotent_node(1);
-    trip(&mut node);
+    make_congested(&mut node);
     let id = node.request(0, Some(1));
     let wait = node.actions.iter().rev().find_map(|a| match a {
         Action::Reject { id: i, retry_after_ms, .. } if *i == id => Some(*retry_after_ms),
--- a/tests/policy/support.rs
+++ b/tests/policy/support.rs
@@ -1,9 +1,9 @@
-//! Nodes and request patterns that several tests use.
+//! Provides test nodes and request patterns that several tests use.
 
 use crate::common::{TestNode, class, settings};
 use wheelpath::policy::{AttemptOutcome, EndpointId, Idempotency, LoadReport, LoadReporting, Settings};
 
-/// A node with one class, which is idempotent, and `count` endpoints.
+/// Returns a node with `count` endpoints and a single request class, which is idempotent.
 pub fn idempotent_node(count: u64) -> TestNode {
     TestNode::with_endpoints(
         Settings { classes: vec![class(400.0, 1000.0, Idempotency::Idempotent)], ..settings() },
@@ -12,26 +12,29 @@
     )
 }
 
-/// Two requests that are never answered: what it takes to trip an endpoint that has no other traffic.
-pub fn trip(node: &mut TestNode) {
+/// Makes the only endpoint of a node congested: the connections of two requests in a row are reset. Two failures are
+/// enough if the endpoint has no other traffic and the settings are those of [`settings`].
+pub fn make_congested(node: &mut TestNode) {
     for _ in 0..2 {
         let id = node.request(0, Some(1));
         node.end_attempt(id, AttemptOutcome::ConnectionReset);
     }
 }
 
-/// One of very many nodes: two candidates tie at nothing in flight.
+/// Returns one of 500 nodes, with `count` endpoints, a single idempotent class and load reports in answers. Such a node
+/// rarely has a request in flight, so that the candidates of a key are usually tied by their requests in flight.
 pub fn one_of_many_nodes(count: u64) -> TestNode {
-    let s = Settings {
+    let settings = Settings {
         classes: vec![class(400.0, 1000.0, Idempotency::Idempotent)],
         node_count: 500,
         load_reporting: LoadReporting::Answers,
         ..settings()
     };
-    TestNode::with_endpoints(s, 1, count)
+    TestNode::with_endpoints(settings, 1, count)
 }
 
-/// One request for a key, answered after 30 ms with a report of `utilization`; the endpoint that it went to.
+/// Sends one request for a key and answers it after 30 ms, with a report of its endpoint's utilization. Then waits for
+/// 100 ms. Returns the endpoint, or `None` if the request was rejected.
 pub fn serve_key(
     node: &mut TestNode,
     key: u64,
@@ -51,14 +54,14 @@
     endpoint
 }
 
-/// Requests for `duration_ms`, one after another, each answered after `answer_ms` with a report of `utilization`: the
-/// share that was rejected.
+/// Sends requests for `duration_ms`, one every `answer_ms` plus 20 ms, and answers each after `answer_ms` with a report
+/// of `utilization`. Returns the share of the requests that were rejected, 0 to 1.
 pub fn rejected_share(node: &mut TestNode, duration_ms: f64, utilization: f64, answer_ms: f64) -> f64 {
-    let (until, mut requested, mut rejected) = (node.now_ms + duration_ms, 0.0, 0.0);
-    let mut n = 0;
-    while node.now_ms < until {
-        n += 1;
-        let id = node.request(0, Some(n));
+    let (until_ms, mut requested, mut rejected) = (node.now_ms + duration_ms, 0.0, 0.0);
+    let mut key = 0;
+    while node.now_ms < until_ms {
+        key += 1;
+        let id = node.request(0, Some(key));
         requested += 1.0;
         rejected += f64::from(u8::from(node.endpoint_of(id).is_none()));
         node.wait(answer_ms);
