--- a/tests/policy/connection_scarcity.rs
+++ b/tests/policy/connection_scarcity.rs
@@ -29,5 +29,5 @@
         node.wait(50.0);
     }
     assert!(node.idle_closed_at_ms.len() >= 19, "{} of 20", node.idle_closed_at_ms.len());
-    assert!(node.log_lines.iter().any(|l| l.starts_with("connections are scarce")));
+    assert!(node.log_lines.iter().any(|line| line.starts_with("connections are scarce")));
 }
--- a/tests/policy/failure_record.rs
+++ b/tests/policy/failure_record.rs
@@ -14,7 +14,7 @@
     node.end_attempt(id, AttemptOutcome::ConnectionReset);
     let id = node.request(0, Some(1));
     assert_eq!(node.answer(id), Some(Answer::Rejected), "congested: rejected at once");
-    assert!(node.log_lines.iter().any(|l| l.starts_with("congested")));
+    assert!(node.log_lines.iter().any(|line| line.starts_with("congested")));
 }
 
 #[test]
@@ -32,7 +32,7 @@
         node.end_attempt(id, no_failures[n % 4]);
         node.wait(400.0);
     }
-    assert!(!node.log_lines.iter().any(|l| l.starts_with("congested")), "{:?}", node.log_lines);
+    assert!(!node.log_lines.iter().any(|line| line.starts_with("congested")), "{:?}", node.log_lines);
 }
 
 #[test]
@@ -56,7 +56,7 @@
         node.end_attempt(id, AttemptOutcome::ConnectionReset);
         node.wait(11_000.0);
     }
-    let tripped = node.log_lines.iter().any(|l| l.starts_with("congested"));
+    let tripped = node.log_lines.iter().any(|line| line.starts_with("congested"));
     assert!(!tripped, "one failure in N seconds: {:?}", node.log_lines);
 }
 
@@ -75,7 +75,7 @@
     node.wait(6000.0);
     let trial = node.request(0, Some(1));
     node.end_attempt(trial, AttemptOutcome::Answered);
-    assert!(node.log_lines.iter().any(|l| l.starts_with("live")));
+    assert!(node.log_lines.iter().any(|line| line.starts_with("live")));
 }
 
 #[test]
@@ -107,7 +107,7 @@
         let id = node.request(0, Some(5));
         node.end_attempt(id, AttemptOutcome::TimedOut);
         assert!(
-            node.log_lines.iter().any(|l| l.starts_with("congested")),
+            node.log_lines.iter().any(|line| line.starts_with("congested")),
             "{nodes} nodes: {:?}",
             node.log_lines
         );
@@ -132,7 +132,7 @@
             node.end_attempt(id, AttemptOutcome::TimedOut);
         }
     }
-    let tripped = node.log_lines.iter().filter(|l| l.starts_with("congested")).count();
+    let tripped = node.log_lines.iter().filter(|line| line.starts_with("congested")).count();
     assert!(tripped <= 5, "{tripped} of 10 congested by a failure of all of them");
 }
 
@@ -161,7 +161,7 @@
         }
         node.end_attempt(id, AttemptOutcome::Answered);
     }
-    assert!(node.log_lines.iter().any(|l| l.starts_with("congested")));
+    assert!(node.log_lines.iter().any(|line| line.starts_with("congested")));
     // One trial finds no connection, the next is answered: the list has no restart, this node assumes one.
     for outcome in [AttemptOutcome::ConnectFailed, AttemptOutcome::Answered] {
         let trial = loop {
@@ -176,7 +176,7 @@
         node.end_attempt(trial, AttemptOutcome::Answered);
     }
     assert!(
-        node.log_lines.iter().any(|l| l.starts_with("live") && l.ends_with("slow start begins")),
+        node.log_lines.iter().any(|line| line.starts_with("live") && line.ends_with("slow start begins")),
         "{:?}",
         node.log_lines
     );
@@ -195,7 +195,7 @@
 fn sent_after_a_failed_trial(outcome: AttemptOutcome) -> usize {
     let mut node = idempotent_node(2);
     node.warm_up(200, 0, 20.0);
-    let logged = |node: &TestNode, word: &str| node.log_lines.iter().any(|l| l.starts_with(word));
+    let logged = |node: &TestNode, word: &str| node.log_lines.iter().any(|line| line.starts_with(word));
     let (dead, mut trials, mut sent) = (active_endpoint(1).endpoint, 0, 0);
     for n in 0..800 {
         let (congested, live) = (logged(&node, "congested"), logged(&node, "live"));
--- a/tests/policy/snapshot.rs
+++ b/tests/policy/snapshot.rs
@@ -22,7 +22,7 @@
             EndpointUpdate { state: EndpointState::Draining, ..active_endpoint(3) },
         ],
     );
-    while !old.log_lines.iter().any(|l| l.starts_with("congested")) {
+    while !old.log_lines.iter().any(|line| line.starts_with("congested")) {
         let id = old.request(0, Some(1));
         old.end_attempt(id, AttemptOutcome::ConnectionReset);
     }
