--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -26,8 +26,8 @@
     assert_eq!(node.answer(id), Some(Answer::Rejected));
 }
 
-/// Guards against an overload estimate that does not fall while no new outcomes arrive. In a simulation of full size, it
-/// kept a node at the lowest admission level for ten seconds.
+/// Guards against an overload estimate that does not fall while no new outcomes arrive. In a simulation of full size,
+/// it kept a node at the lowest admission level for ten seconds.
 #[test]
 fn a_node_that_admits_little_recovers() {
     let mut node = idempotent_node(10);
--- a/tests/policy/load_report.rs
+++ b/tests/policy/load_report.rs
@@ -34,8 +34,8 @@
 }
 
 /// Guards against a mean utilization to which only failures contribute, because endpoints report only `qps` and
-/// `inflight`. With real nodes, each failure raised it, until a fleet got no requests though it answered well within the
-/// latency objective.
+/// `inflight`. With real nodes, each failure raised it, until a fleet got no requests though it answered well within
+/// the latency objective.
 #[test]
 fn failures_do_not_count_as_utilization_if_none_is_reported() {
     let mut settings = idempotent_node(6).settings;
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -4,8 +4,8 @@
 use crate::support::idempotent_node;
 use wheelpath::policy::{Action, AttemptOutcome, Settings};
 
-/// Guards against an attempt timeout that is learned from answers alone: only quick answers arrive within it, so that it
-/// becomes shorter with each timeout. It happened under light load.
+/// Guards against an attempt timeout that is learned from answers alone: only quick answers arrive within it, so that
+/// it becomes shorter with each timeout. It happened under light load.
 #[test]
 fn timeouts_do_not_shorten_the_next_timeout() {
     let mut node = idempotent_node(1);
@@ -23,8 +23,8 @@
 }
 
 /// Guards against requests that may not be repeated but use up the budget of others. With real nodes, such a request
-/// selected another endpoint after a connection reset, though it could not be sent there; the budget was then spent, and no
-/// endpoint counted as usable.
+/// selected another endpoint after a connection reset, though it could not be sent there; the budget was then spent,
+/// and no endpoint counted as usable.
 #[test]
 fn requests_that_may_not_be_repeated_use_no_budget() {
     let mut node =
@@ -53,8 +53,8 @@
     assert!(sent >= 57, "{sent} of 60 at once were sent");
 }
 
-/// Guards against a retry that starts after the deduplication window of the first attempt, so that the endpoint runs the
-/// request twice.
+/// Guards against a retry that starts after the deduplication window of the first attempt, so that the endpoint runs
+/// the request twice.
 #[test]
 fn a_repeat_must_begin_within_the_deduplication_window() {
     let begin_within_ms_of = |node: &TestNode, id| {
--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -1,4 +1,4 @@
-//! Bad input, and several faults at once.
+//! Tests that a balancer keeps its rules with invalid input and with several faults at once.
 
 use crate::common::{Answer, active_endpoint, settings};
 use crate::support::idempotent_node;
@@ -6,6 +6,8 @@
     AttemptOutcome, Balancer, EndpointState, EndpointUpdate, Event, Settings, SettingsError, WatchUpdate,
 };
 
+/// Guards against an invalid duration or a jump of the clock that spoils estimates, so that later requests are
+/// rejected.
 #[test]
 fn non_finite_times_and_a_clock_jump_do_no_harm() {
     let mut node = idempotent_node(4);
@@ -14,6 +16,7 @@
         let id = node.request(0, Some(n));
         node.wait(20.0);
         let Some(endpoint) = node.endpoint_of(id) else { continue };
+        // The attempt ends without `end_attempt`, which reports valid durations only.
         node.requests.get_mut(&id).expect("a known request").attempts[0].outcome =
             Some(AttemptOutcome::Answered);
         node.requests.get_mut(&id).expect("a known request").answer = Some(Answer::Served);
@@ -39,8 +42,10 @@
     }
 }
 
+/// Guards against rules that are broken when list updates, stalls and requests coincide: endpoints leave the list and
+/// return to it in turn, while some requests are in flight for 900 ms.
 #[test]
-fn flapping_endpoints_and_a_stall_together_break_no_rule() {
+fn flapping_endpoints_and_slow_answers_together_break_no_rule() {
     let mut node = idempotent_node(6);
     node.warm_up(50, 0, 20.0);
     for n in 0..60 {
@@ -57,13 +62,14 @@
     assert!(node.endpoint_of(id).is_some());
 }
 
+/// Guards against invalid settings that are accepted, and against an error that does not name the setting.
 #[test]
-fn unusable_settings_are_a_typed_error() {
-    let none = Settings { classes: vec![], ..settings() };
-    assert_eq!(Balancer::new(none, 1).err(), Some(SettingsError::NoClass));
-    let odd = Settings { slow_start_ms: f64::NAN, ..settings() };
+fn invalid_settings_are_a_typed_error() {
+    let without_class = Settings { classes: vec![], ..settings() };
+    assert_eq!(Balancer::new(without_class, 1).err(), Some(SettingsError::NoClass));
+    let not_a_number = Settings { slow_start_ms: f64::NAN, ..settings() };
     assert!(matches!(
-        Balancer::new(odd, 1).err(),
+        Balancer::new(not_a_number, 1).err(),
         Some(SettingsError::OutOfRange { field: "rules.coldMs", .. })
     ));
 }
--- a/tests/policy/snapshot.rs
+++ b/tests/policy/snapshot.rs
@@ -1,4 +1,4 @@
-//! What one process takes over from the one before it.
+//! Tests what a new process of a node takes over from the previous one, and how the two share a handover.
 
 use crate::common::{TestNode, active_endpoint};
 use crate::support::idempotent_node;
@@ -7,14 +7,16 @@
     WatchUpdate,
 };
 
+/// Guards against a new process that sends full traffic to restarted or congested endpoints because it has not seen
+/// their restart or their failures.
 #[test]
 fn a_process_takes_over_slow_starts_congestion_and_limits() {
     let mut old = idempotent_node(3);
     old.warm_up(300, 0, 10.0);
-    let [cold, dead, fine] =
-        [active_endpoint(1), active_endpoint(2), active_endpoint(3)].map(|e| e.endpoint);
-    old.feed(Event::Disable(cold));
-    old.feed(Event::Enable(cold));
+    let [restarted, congested, warm] =
+        [active_endpoint(1), active_endpoint(2), active_endpoint(3)].map(|listed| listed.endpoint);
+    old.feed(Event::Disable(restarted));
+    old.feed(Event::Enable(restarted));
     old.apply_list(
         WatchUpdate::Delta,
         vec![
@@ -27,36 +29,40 @@
         old.end_attempt(id, AttemptOutcome::ConnectionReset);
     }
     old.apply_list(WatchUpdate::Delta, vec![active_endpoint(1), active_endpoint(3)]);
-    let mut memory = old.balancer.snapshot(old.now_ms);
-    let of = |b: EndpointId| memory.iter().find(|m| m.endpoint == b).expect("in the snapshot");
-    assert!(of(cold).started_at_ms.is_some() && of(fine).started_at_ms.is_none());
-    assert!(of(dead).prat_ms.is_some() && of(fine).prat_ms.is_none());
+    let mut snapshot = old.balancer.snapshot(old.now_ms);
+    let state_of = |endpoint: EndpointId| {
+        snapshot.iter().find(|state| state.endpoint == endpoint).expect("an endpoint of the snapshot")
+    };
+    assert!(state_of(restarted).started_at_ms.is_some() && state_of(warm).started_at_ms.is_none());
+    assert!(state_of(congested).prat_ms.is_some() && state_of(warm).prat_ms.is_none());
     let mut new = TestNode::new(old.settings.clone(), 2);
     new.now_ms = old.now_ms;
     new.apply_list(
         WatchUpdate::CachedSnapshot,
         vec![active_endpoint(1), active_endpoint(2), active_endpoint(3)],
     );
-    // One small limit, one large one: the old process may still fill that.
-    (memory[0].concurrency_limit, memory[1].concurrency_limit) = (0.5, 9.0);
-    new.feed(Event::SnapshotRestored(memory.clone()));
-    memory[1].concurrency_limit = 2.0;
+    // A limit below the initial one is taken over as it is. A higher one is reduced to the initial limit of 2, because
+    // the old process may still use the rest.
+    (snapshot[0].concurrency_limit, snapshot[1].concurrency_limit) = (0.5, 9.0);
+    new.feed(Event::SnapshotRestored(snapshot.clone()));
+    snapshot[1].concurrency_limit = 2.0;
     assert_eq!(
         new.balancer.snapshot(new.now_ms),
-        memory,
-        "as the old process knew it, up to the first limit"
+        snapshot,
+        "the new process must have the state of the old one, with no limit above the initial one"
     );
     let ids: Vec<_> = (0..6).map(|n| new.request(0, Some(n))).collect();
-    let sent = |b| ids.iter().filter(|id| new.endpoint_of(**id) == Some(b)).count();
-    assert_eq!(sent(dead), 0, "nothing before its PRAT");
-    assert!(sent(cold) <= 1, "no more than the slow start allows");
-    assert!(sent(fine) > 0);
+    let sent = |endpoint| ids.iter().filter(|id| new.endpoint_of(**id) == Some(endpoint)).count();
+    assert_eq!(sent(congested), 0, "a congested endpoint must get no request before its PRAT");
+    assert!(sent(restarted) <= 1, "a restarted endpoint must get no more than its slow start allows");
+    assert!(sent(warm) > 0);
 }
 
+/// Guards against a damaged snapshot after which an endpoint gets no requests.
 #[test]
-fn unknown_endpoints_and_odd_figures_in_a_snapshot_do_no_harm() {
+fn unknown_endpoints_and_invalid_numbers_in_a_snapshot_do_no_harm() {
     let mut node = idempotent_node(1);
-    let odd = |endpoint, limit| EndpointSnapshot {
+    let invalid_state = |endpoint, limit| EndpointSnapshot {
         endpoint,
         started_at_ms: Some(f64::NAN),
         prat_ms: None,
@@ -64,27 +70,27 @@
         served_per_second: f64::NAN,
     };
     node.feed(Event::SnapshotRestored(vec![
-        odd(EndpointId(77), 1.0),
-        odd(active_endpoint(1).endpoint, f64::NAN),
-        odd(active_endpoint(1).endpoint, -1.0),
+        invalid_state(EndpointId(77), 1.0),
+        invalid_state(active_endpoint(1).endpoint, f64::NAN),
+        invalid_state(active_endpoint(1).endpoint, -1.0),
     ]));
     let id = node.request(0, Some(1));
     assert_eq!(node.endpoint_of(id), Some(active_endpoint(1).endpoint));
 }
 
-/// Rounds of eight requests at once, each answered after 5 ms: how many of them one endpoint got.
-fn play_rounds(node: &mut TestNode, rounds: u64, at: EndpointId) -> usize {
-    let mut got = 0;
-    for n in 0..rounds {
-        let ids: Vec<_> = (0..8).map(|k| node.request(0, Some(8 * n + k))).collect();
-        got += ids.iter().filter(|id| node.endpoint_of(**id) == Some(at)).count();
+/// Sends rounds of eight requests at once, which are answered after 5 ms. Returns how many of them `endpoint` got.
+fn serve_rounds(node: &mut TestNode, rounds: u64, endpoint: EndpointId) -> usize {
+    let mut sent = 0;
+    for round in 0..rounds {
+        let ids: Vec<_> = (0..8).map(|index| node.request(0, Some(8 * round + index))).collect();
+        sent += ids.iter().filter(|id| node.endpoint_of(**id) == Some(endpoint)).count();
         node.wait(5.0);
         ids.into_iter().for_each(|id| node.end_attempt(id, AttemptOutcome::Answered));
     }
-    got
+    sent
 }
 
-/// How many requests are in flight before one is rejected.
+/// Sends requests that are not answered, and returns how many were sent before the first one was rejected.
 fn sent_before_rejection(node: &mut TestNode) -> usize {
     (0..1000)
         .take_while(|n| {
@@ -94,22 +100,24 @@
         .count()
 }
 
+/// Guards against two processes of one node that each use the full slow-start budget and the full limits during a
+/// handover, so that the node sends twice as much as it may.
 #[test]
-fn a_new_process_starts_small_and_shares_the_slow_start_budget() {
-    let cold = active_endpoint(1).endpoint;
-    // Limits that have grown well past the first, and an endpoint that has just been restarted.
-    let grown = || {
+fn a_new_process_starts_with_low_limits_and_shares_the_slow_start_budget() {
+    let restarted = active_endpoint(1).endpoint;
+    // A node whose limits have grown far above the initial one, and an endpoint that has just restarted.
+    let single_process = || {
         let mut node =
             TestNode::with_endpoints(Settings { node_count: 2, ..idempotent_node(1).settings }, 1, 4);
-        play_rounds(&mut node, 200, cold);
+        serve_rounds(&mut node, 200, restarted);
         node.apply_list(
             WatchUpdate::Delta,
             vec![EndpointUpdate { started_at_ms: node.now_ms, ..active_endpoint(1) }],
         );
         node
     };
-    let split = || {
-        let mut old = grown();
+    let two_processes = || {
+        let mut old = single_process();
         let mut new = TestNode::new(old.settings.clone(), 2);
         new.now_ms = old.now_ms;
         new.apply_list(WatchUpdate::CachedSnapshot, old.known_endpoints.values().copied().collect());
@@ -118,15 +126,17 @@
         new.feed(Event::HandoverStarted);
         [old, new]
     };
-    let one = (play_rounds(&mut grown(), 40, cold), sent_before_rejection(&mut grown()));
-    let restarted = split().map(|mut node| play_rounds(&mut node, 40, cold));
-    let in_flight = split().map(|mut node| sent_before_rejection(&mut node));
+    let (single_sent, single_in_flight) =
+        (serve_rounds(&mut single_process(), 40, restarted), sent_before_rejection(&mut single_process()));
+    let sent = two_processes().map(|mut node| serve_rounds(&mut node, 40, restarted));
+    let in_flight = two_processes().map(|mut node| sent_before_rejection(&mut node));
     let figures = format!(
-        "to the restarted one and in flight: one process {one:?}, two {restarted:?} and {in_flight:?}"
+        "requests to the restarted endpoint, and in flight: {single_sent} and {single_in_flight} with one process, {sent:?} and {in_flight:?} with two"
     );
-    assert!(one.0 > 6 && one.1 > 12, "{figures}");
-    // Where each had what one had, that would be twice as much.
-    assert!((one.0 / 2..=one.0 * 3 / 2).contains(&restarted.iter().sum()), "{figures}");
-    // The old process still has its clients; the new one has no more than the initial limit of four at three.
-    assert_eq!(in_flight, [one.1, 12], "{figures}");
+    assert!(single_sent > 6 && single_in_flight > 12, "{figures}");
+    // If each process used the full budget, the sum would be twice the number of a single process.
+    assert!((single_sent / 2..=single_sent * 3 / 2).contains(&sent.iter().sum()), "{figures}");
+    // The old process keeps its limits for the clients that it still has. The new one has the initial limit of four
+    // requests at each of the three warm endpoints.
+    assert_eq!(in_flight, [single_in_flight, 12], "{figures}");
 }
