--- a/tests/policy/retry_after.rs
+++ b/tests/policy/retry_after.rs
@@ -21,11 +21,11 @@
     let mut node = TestNode::new(Settings { retry_after_allowed: false, ..settings() }, 1);
     let id = node.request(0, Some(1));
     assert_eq!(node.answer(id), Some(Answer::Rejected), "a request must be rejected if the list is empty");
-    let has_no_retry_after = |action: &Action| match action {
-        Action::Reject { id: rejected_id, retry_after_ms, .. } => {
-            *rejected_id == id && *retry_after_ms == 0.0
-        }
-        _ => false,
+    let has_no_retry_after = |action: &Action| {
+        matches!(
+            action,
+            Action::Reject { id: rejected_id, retry_after_ms: 0.0, .. } if *rejected_id == id
+        )
     };
     assert!(node.actions.iter().any(has_no_retry_after));
 }
--- a/tests/policy/snapshot.rs
+++ b/tests/policy/snapshot.rs
@@ -131,7 +131,8 @@
     let sent = two_processes().map(|mut node| serve_rounds(&mut node, 40, restarted));
     let in_flight = two_processes().map(|mut node| sent_before_rejection(&mut node));
     let figures = format!(
-        "requests to the restarted endpoint, and in flight: {single_sent} and {single_in_flight} with one process, {sent:?} and {in_flight:?} with two"
+        "requests sent to the restarted endpoint, and in flight: {single_sent} and {single_in_flight} with one \
+         process, {sent:?} and {in_flight:?} with two"
     );
     assert!(single_sent > 6 && single_in_flight > 12, "{figures}");
     // If each process used the full budget, the sum would be twice the number of a single process.
