--- a/tests/policy/failure_record.rs
+++ b/tests/policy/failure_record.rs
@@ -117,7 +117,7 @@
 /// Guards against many nodes that each need several failures to make an endpoint congested, and whose trials together
 /// are a load that an endpoint in trouble cannot serve.
 #[test]
-fn with_many_nodes_one_failure_makes_congested_and_trials_stay_few() {
+fn with_many_nodes_one_failure_suffices_and_trials_stay_few() {
     for nodes in [50, 100] {
         let settings = Settings { node_count: nodes, ..settings() };
         let mut node = TestNode::with_endpoints(settings, 1, 1);
--- a/tests/policy/operator_overrides.rs
+++ b/tests/policy/operator_overrides.rs
@@ -51,16 +51,16 @@
 fn an_enabled_endpoint_starts_slowly_and_one_enable_undoes_two_disables() {
     let mut node = idempotent_node(3);
     node.warm_up(300, 0, 10.0);
-    let disabled = active_endpoint(1).endpoint;
-    node.feed(Event::Disable(disabled));
-    node.feed(Event::Disable(disabled));
+    let endpoint = active_endpoint(1).endpoint;
+    node.feed(Event::Disable(endpoint));
+    node.feed(Event::Disable(endpoint));
     node.wait(5000.0);
-    node.feed(Event::Enable(disabled));
+    node.feed(Event::Enable(endpoint));
     let count_sent = |node: &mut TestNode| {
         let mut sent = 0;
         for n in 0..300 {
             let id = node.request(0, Some(n));
-            sent += usize::from(node.endpoint_of(id) == Some(disabled));
+            sent += usize::from(node.endpoint_of(id) == Some(endpoint));
             node.wait(10.0);
             node.end_attempt(id, AttemptOutcome::Answered);
         }
@@ -70,7 +70,7 @@
     assert!((1..60).contains(&sent_when_cold), "{sent_when_cold} of 300 in the first three seconds");
     // Enabled once more after its slow start, the endpoint keeps its full share.
     node.wait(22_000.0);
-    node.feed(Event::Enable(disabled));
+    node.feed(Event::Enable(endpoint));
     let sent_when_warm = count_sent(&mut node);
     assert!(sent_when_warm > 70, "{sent_when_warm} of 300 after the slow start");
 }
@@ -81,19 +81,19 @@
 fn enabling_does_not_bring_back_a_draining_or_removed_endpoint() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut node = idempotent_node(2);
-        let disabled = active_endpoint(1).endpoint;
-        node.feed(Event::Disable(disabled));
+        let endpoint = active_endpoint(1).endpoint;
+        node.feed(Event::Disable(endpoint));
         node.apply_list(WatchUpdate::Delta, vec![EndpointUpdate { state, ..active_endpoint(1) }]);
-        node.feed(Event::Enable(disabled));
+        node.feed(Event::Enable(endpoint));
         for n in 0..20 {
             let id = node.request(0, Some(n));
-            assert_ne!(node.endpoint_of(id), Some(disabled), "{state:?}");
+            assert_ne!(node.endpoint_of(id), Some(endpoint), "{state:?}");
             node.end_attempt(id, AttemptOutcome::Answered);
         }
         // The endpoint starts slowly when it is listed as active again, though the list reports no restart.
         node.apply_list(WatchUpdate::Delta, vec![active_endpoint(1)]);
         let ids: Vec<_> = (0..20).map(|n| node.request(0, Some(n))).collect();
-        let sent = ids.iter().filter(|id| node.endpoint_of(**id) == Some(disabled)).count();
+        let sent = ids.iter().filter(|id| node.endpoint_of(**id) == Some(endpoint)).count();
         assert!(sent <= 1, "{sent} at once to an endpoint that must start slowly");
     }
 }
