--- a/tests/node_handover.rs
+++ b/tests/node_handover.rs
@@ -58,15 +58,15 @@
     assert!(old.is_running());
 }
 
-/// Sends the admin command `ready`, and returns whether the process answers that it is ready. The process may still be
-/// starting and not listen yet.
+/// Sends the admin command `ready`, and returns whether the process answers that it is ready. The process may still
+/// be starting and not listen yet.
 fn is_ready(node: &Node) -> bool {
     let is_listening = std::net::TcpStream::connect(node.admin_address()).is_ok();
     is_listening && node.admin_command("ready").starts_with("done")
 }
 
-/// The platform may pass a wrong descriptor in `LB_INHERITED_FD`. The process must then end, and its log must say which
-/// descriptor or value is wrong.
+/// The platform may pass a wrong descriptor in `LB_INHERITED_FD`. The process must then end, and its log must say
+/// which descriptor or value is wrong.
 #[test]
 fn the_start_fails_with_an_error_that_names_an_unusable_descriptor() {
     // Starts a process by the shell command, waits until it has failed, and returns its log.
@@ -150,9 +150,9 @@
     let _ = std::fs::remove_dir_all(state_dir);
 }
 
-/// A process that writes the overrides file may have read it before the other process stored a command. Its write then
-/// removes from the file a command that was already answered with `done`. The process that stored the command must
-/// notice this and write it again.
+/// A process that writes the overrides file may have read it before the other process stored a command. Its write
+/// then removes from the file a command that was already answered with `done`. The process that stored the command
+/// must notice this and write it again.
 #[test]
 fn an_override_that_the_other_process_overwrites_still_applies() {
     let (_, discovery) = start_three_endpoints();
@@ -165,8 +165,8 @@
     let overrides_file = state_dir.join("node-calls.json");
     assert!(old.admin_command("disable-server s-2").starts_with("done"));
     assert!(new.admin_command("enable-server s-2").starts_with("done in service"));
-    // Restores the previous content of the file, as a write by the new process would that began before the command. The
-    // new process is suspended, so that it cannot adopt the override before.
+    // Restores the previous content of the file, as a write by the new process would that began before the command.
+    // The new process is suspended, so that it cannot adopt the override before.
     new.while_suspended(|| {
         let previous_content = std::fs::read(&overrides_file).unwrap();
         assert!(old.admin_command("disable-server s-1").starts_with("done out of service"));
@@ -207,9 +207,9 @@
     let _ = std::fs::remove_dir_all(state_dir);
 }
 
-/// A terminated process must leave new connections to its successor. It recognizes the successor by the process record
-/// in `node-state.json`. The old process may overwrite the record just after the new one has written it, and must still
-/// recognize the new process afterwards.
+/// A terminated process must leave new connections to its successor. It recognizes the successor by the process
+/// record in `node-state.json`. The old process may overwrite the record just after the new one has written it, and
+/// must still recognize the new process afterwards.
 #[test]
 fn a_terminated_process_with_a_successor_accepts_no_new_connections() {
     let (records, discovery) = start_three_endpoints();
@@ -260,9 +260,9 @@
     let _ = std::fs::remove_dir_all(state_dir);
 }
 
-/// With polled discovery, a process makes its first call after a random time of up to 2.5 s, so that many nodes do not
-/// call at once. If the process record says that the predecessor had a newer endpoint list than the configured one, the
-/// process must not wait: endpoints on its list may have left since.
+/// With polled discovery, a process makes its first call after a random time of up to 2.5 s, so that many nodes do
+/// not call at once. If the process record says that the predecessor had a newer endpoint list than the configured
+/// one, the process must not wait: endpoints on its list may have left since.
 #[test]
 fn a_process_with_an_older_list_than_its_predecessor_polls_at_once() {
     let (_, discovery) = start_three_endpoints();
@@ -300,15 +300,15 @@
     let _ = std::fs::remove_dir_all(state_dir);
 }
 
-/// Two processes run at the same time during a handover, and have to share the memory limit of the node. The test uses
-/// the lowest limit, 32 MiB.
+/// Two processes run at the same time during a handover, and have to share the memory limit of the node. The test
+/// uses the lowest limit, 32 MiB.
 #[test]
 fn a_thousand_endpoints_and_peers_fit_into_the_smallest_memory_limit() {
     const COUNT: usize = 1024;
     let record = RequestRecord::default();
     let address = start_endpoint(&record, |_, _| ok(b"x"));
-    // All endpoints are set to draining at the end. If a process had lost the entry of one of them, it could not drain
-    // that endpoint and would stay ready.
+    // All endpoints are set to draining at the end. If a process had lost the entry of one of them, it could not
+    // drain that endpoint and would stay ready.
     let mut targets: Vec<_> = (0..COUNT).map(|n| target(&format!("s-{n}"), address, "up")).collect();
     let discovery = DiscoveryStub::start(targets.clone());
     let socket = TcpListener::bind(free_address()).unwrap();
--- a/tests/node_reload.rs
+++ b/tests/node_reload.rs
@@ -1,4 +1,4 @@
-//! A new configuration while requests come.
+//! A node reloads its configuration on SIGHUP while it serves requests. Only the address of discovery may change.
 mod node;
 
 use node::*;
@@ -6,75 +6,92 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// With pushed discovery, each agent counts list versions on its own. A node that asked the new agent for changes
+/// after the version of the old one could get no list at all. And a reload must not fail requests that are in
+/// progress.
 #[test]
 fn a_new_configuration_is_applied_under_load_and_an_invalid_one_is_not() {
-    let place = |name: &'static [u8]| start_endpoint(&RequestRecord::default(), move |_, _| ok(name));
-    let (a, b, c) = (place(b"a"), place(b"b"), place(b"c"));
-    let only = |at| all_up(&[at]);
-    // The second discovery counts from 1 again: what the first one's count was means nothing to it.
-    let first = DiscoveryStub::start(only(a));
-    (0..5).for_each(|_| first.set(only(a)));
+    let start_named_endpoint =
+        |name: &'static [u8]| start_endpoint(&RequestRecord::default(), move |_, _| ok(name));
+    let (a, b, c) = (start_named_endpoint(b"a"), start_named_endpoint(b"b"), start_named_endpoint(b"c"));
+    let list_of = |endpoint| all_up(&[endpoint]);
+    // The first discovery is at version 6 of its list; the second and the third start at version 1.
+    let first = DiscoveryStub::start(list_of(a));
+    (0..5).for_each(|_| first.set(list_of(a)));
     let mut node = Node::start(first.address, |_| {});
     let served_by = |address| send_request(address, &request("page", 4000)).body;
     let address = node.address;
-    let over = AtomicBool::new(false);
+    let is_over = AtomicBool::new(false);
     thread::scope(|scope| {
         let load: Vec<_> = (0..4)
             .map(|_| {
                 scope.spawn(|| {
                     let mut client = Client::connect(address);
-                    while !over.load(Ordering::SeqCst) {
+                    while !is_over.load(Ordering::SeqCst) {
                         assert_eq!(client.send_and_receive(&request("page", 4000)).status(), 200);
                     }
                 })
             })
             .collect();
-        wait_for("the first list", || served_by(address) == b"a");
-        // The environment still names the first one.
-        let second = DiscoveryStub::start(only(b));
+        wait_for("the list of the first discovery is used", || served_by(address) == b"a");
+        // The environment variable `LB_DISCOVERY` still names the first discovery; the reloaded file takes
+        // precedence.
+        let second = DiscoveryStub::start(list_of(b));
         node.reload(second.address);
-        wait_for("the second list", || served_by(address) == b"b");
+        wait_for("the list of the second discovery is used", || served_by(address) == b"b");
         let calls = first.call_count();
-        for bad in ["", "{\"discovery\":", "[]", "{\"discovery\": \"nowhere\"}"] {
-            node.reload_text(bad);
+        for invalid in ["", "{\"discovery\":", "[]", "{\"discovery\": \"nowhere\"}"] {
+            node.reload_text(invalid);
         }
-        second.set(only(c));
-        wait_for("the second list's change", || served_by(address) == b"c");
-        // And once more, to one that is not there yet.
-        let late = free_address();
-        node.reload(late);
+        second.set(list_of(c));
+        wait_for("the change by the second discovery is used", || served_by(address) == b"c");
+        // Nothing listens yet at the address of the third discovery, so the node keeps its list.
+        let third_address = free_address();
+        node.reload(third_address);
         assert_eq!(served_by(address), b"c");
-        let _third = DiscoveryStub::start_at(late, only(a));
-        wait_for("the third list", || served_by(address) == b"a");
-        assert_eq!(first.call_count(), calls, "the first discovery was asked again");
-        over.store(true, Ordering::SeqCst);
-        load.into_iter().for_each(|l| l.join().unwrap());
+        let _third = DiscoveryStub::start_at(third_address, list_of(a));
+        wait_for("the list of the third discovery is used", || served_by(address) == b"a");
+        assert_eq!(first.call_count(), calls, "the first discovery was called again");
+        is_over.store(true, Ordering::SeqCst);
+        load.into_iter().for_each(|client| client.join().unwrap());
     });
     assert!(node.is_running());
 }
 
+/// A change that discovery has at a reload counts as known to the node 4 s later. With polled discovery, the balancer
+/// spreads the calls of many nodes after a failure over a longer time. The node must not wait for that after a
+/// reload.
 #[test]
-fn a_drain_after_a_new_configuration_is_known_in_time_despite_failed_polls() {
-    let (leaving, staying) = (RequestRecord::default(), RequestRecord::default());
-    let addresses = [start_endpoint(&leaving, |_, _| ok(b"x")), start_endpoint(&staying, |_, _| ok(b"x"))];
+fn a_drain_is_known_in_time_after_a_reload_despite_failed_polls() {
+    let (draining, active) = (RequestRecord::default(), RequestRecord::default());
+    let addresses = [start_endpoint(&draining, |_, _| ok(b"x")), start_endpoint(&active, |_, _| ok(b"x"))];
     let mut targets = all_up(&addresses);
     let first = DiscoveryStub::start(targets.clone());
     let mut node = Node::start(first.address, |c| {
         c["settings"]["membershipMode"] = "on_request".into();
-        // After a failure so many nodes call again over some seconds.
+        // With so many nodes, a node would repeat a failed call only after some seconds.
         c["settings"]["instances"] = 300.into();
     });
-    wait_for("a watch is out", || first.call_count() >= 2);
+    wait_for("the node has begun a watch", || first.call_count() >= 2);
     targets[0] = target("s-0", addresses[0], "draining");
-    // The same service at another place: its count goes on, and it has too many callers.
+    // All nodes poll one service, which keeps its version count when it moves to another address. It is overloaded
+    // after the move and rejects calls.
     let second = DiscoveryStub::start(all_up(&addresses));
     second.set(targets);
     second.reject_calls(3);
-    let told = Instant::now() + Duration::from_secs(4);
+    let known_by = Instant::now() + Duration::from_secs(4);
     node.reload(second.address);
-    wait_until(told, "the call after the one that is answered", || second.call_count() >= 5);
-    let asked = second.call_lines();
-    assert!(asked[3].contains("after=1&wait_ms=0 "), "all of the list, or a wait for news: {}", asked[3]);
-    assert!(asked[4].contains("after=2&wait_ms=60000 "), "no watch: {}", asked[4]);
-    assert_draining_endpoint_gets_no_requests(&node, &leaving, &staying);
+    wait_until(known_by, "the call after the first answered one", || second.call_count() >= 5);
+    let calls = second.call_lines();
+    assert!(
+        calls[3].contains("after=1&wait_ms=0 "),
+        "the call does not ask for the changes after version 1, or waits for further ones: {}",
+        calls[3]
+    );
+    assert!(
+        calls[4].contains("after=2&wait_ms=60000 "),
+        "the call is not a watch for the changes after version 2: {}",
+        calls[4]
+    );
+    assert_draining_endpoint_gets_no_requests(&node, &draining, &active);
 }
--- a/tests/node_state_files.rs
+++ b/tests/node_state_files.rs
@@ -99,6 +99,7 @@
 #[test]
 fn files_of_version_2_are_taken_over() {
     let successor = Successor::start("state-version-2");
+    // A process counts the time since the files were written as zero. The 15 s are for its start on a busy machine.
     let elapsed_ms = successor.endpoint_state("s-3")["cold_for_ms"].as_f64().unwrap();
     assert!(
         (SLOW_START_ELAPSED_MS..SLOW_START_ELAPSED_MS + 15_000.0).contains(&elapsed_ms),
