--- a/tests/node_handover.rs
+++ b/tests/node_handover.rs
@@ -223,9 +223,9 @@
     wait_for("the new process is ready", || is_ready(&new));
     let process_file = state_dir.join("node-state.json");
     let pid_field = |pid: u32| format!("\"pid\":{pid},");
-    let record_names =
+    let is_named_in_record =
         |pid| std::fs::read_to_string(&process_file).is_ok_and(|text| text.contains(&pid_field(pid)));
-    wait_for("the process record names the new process", || record_names(new.pid()));
+    wait_for("the process record names the new process", || is_named_in_record(new.pid()));
     // Overwrites the record as the old process could, with its own process id and start time.
     let record = std::fs::read_to_string(&process_file).unwrap();
     let draft = state_dir.join("draft");
@@ -233,7 +233,7 @@
         record.replace(&process_identity_fields(new.pid()), &process_identity_fields(old.pid()));
     state::write_updating_checksum(&draft, &old_record);
     std::fs::rename(draft, &process_file).unwrap();
-    wait_for("the process record names the new process again", || record_names(new.pid()));
+    wait_for("the process record names the new process again", || is_named_in_record(new.pid()));
     // The old process reads the process record just before the overrides. So once it applies this override, it has
     // recognized the new process.
     assert!(new.admin_command("disable-server s-0").starts_with("done"));
@@ -271,7 +271,7 @@
     let configure = |c: &mut Value| {
         set_console(c);
         c["settings"]["membershipMode"] = "on_request".into();
-        // So many nodes that the random time has its upper bound.
+        // With so many nodes, the random time may be as long as 2.5 s.
         c["settings"]["instances"] = 50_000.into();
         c["settings"]["rules"]["mustAskInMs"] = 1e7.into();
         let target = target("s-0", free_address(), "up");
@@ -279,7 +279,8 @@
     };
     let version_1 = r#"{"version":1,"pid":1,"calls":0,"out":[],"list":LIST,"backends":[]}"#;
     let version_2 = state::with_checksum(r#"{"pid":1,"started":1,"list":4,"servers":[]}"#);
-    // The list version in a file of version 1, or `version 2` for the file of that version.
+    // Each case is the list version in a file of version 1, or `version 2` for the file of that version, which has
+    // list version 4.
     for (list, is_behind) in [("3", false), ("null", false), ("4", true), ("version 2", true)] {
         let text = if list == "version 2" { version_2.clone() } else { version_1.replace("LIST", list) };
         std::fs::write(state_dir.join("node-state.json"), text).unwrap();
--- a/tests/node_reload.rs
+++ b/tests/node_reload.rs
@@ -58,9 +58,9 @@
     assert!(node.is_running());
 }
 
-/// A change that discovery has at a reload counts as known to the node 4 s later. With polled discovery, the balancer
-/// spreads the calls of many nodes after a failure over a longer time. The node must not wait for that after a
-/// reload.
+/// A change that discovery has when the node reloads its configuration counts as known to the node 4 s later. With
+/// polled discovery and many nodes, the balancer normally repeats a failed call only after a longer pause. After a
+/// reload, the node must repeat it sooner.
 #[test]
 fn a_drain_is_known_in_time_after_a_reload_despite_failed_polls() {
     let (draining, active) = (RequestRecord::default(), RequestRecord::default());
