--- a/tests/node_streaming.rs
+++ b/tests/node_streaming.rs
@@ -1,4 +1,6 @@
-//! Bodies that are too long to be kept, or slow, or framed in ways of their own.
+//! Tests bodies that are too long to be buffered, that arrive slowly, or that use one of the possible framings.
+//!
+//! The end of a body is given by its length, by its last chunk, or, for a response, by the end of the connection.
 mod node;
 
 use node::*;
@@ -10,16 +12,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// Far more than any buffer on the way holds.
-const LONG: usize = 24 * 1024 * 1024;
+/// The length of a body that is far longer than the buffers of the node and of the sockets on the path.
+const STREAMED_BODY_BYTES: usize = 24 * 1024 * 1024;
 
-/// Bytes that show when any of them is missing or moved.
-fn long(length: usize) -> Vec<u8> {
+/// Returns a body whose bytes depend on their position, so that a missing or moved byte is detected.
+fn patterned_body(length: usize) -> Vec<u8> {
     (0..length).map(|n| (n % 251) as u8).collect()
 }
 
-/// An endpoint that hands each connection to `serve`, with its number.
-fn raw_backend(serve: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> SocketAddr {
+/// Starts an endpoint that passes each accepted connection to `serve`, with the number of the connection, from 0.
+fn start_raw_endpoint(serve: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind(loopback(0)).unwrap();
     let address = listener.local_addr().unwrap();
     let serve = Arc::new(serve);
@@ -32,8 +34,9 @@
     address
 }
 
-/// Reads a head up to its empty line.
-fn head(reader: &mut impl BufRead) -> Option<String> {
+/// Reads the head of a message, including the empty line that ends it, and returns it in lower case. Returns `None` if
+/// the stream ends or fails first.
+fn read_head(reader: &mut impl BufRead) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if reader.read_line(&mut head).ok()? == 0 {
@@ -43,42 +46,46 @@
     Some(head.to_ascii_lowercase())
 }
 
-fn start(addresses: &[SocketAddr]) -> Node {
+/// Starts a node with a memory limit of 48 MiB, which three buffered long bodies would exceed.
+fn start_node(addresses: &[SocketAddr]) -> Node {
     let discovery = DiscoveryStub::start(all_up(addresses));
     Node::start(discovery.address, |c| c["limits"]["memory_mb"] = 48.into())
 }
 
-/// A client that has asked for a page, and the head of what it gets.
-fn ask_page(node: &Node) -> (BufReader<TcpStream>, String) {
+/// Sends a request of class `page` on a new connection. Returns the head of the response in lower case, and a reader of
+/// its body.
+fn request_page(node: &Node) -> (BufReader<TcpStream>, String) {
     let mut client = TcpStream::connect(node.address).unwrap();
     client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     client.write_all(&request("page", 4000)).unwrap();
     let mut reader = BufReader::new(client);
-    let head = head(&mut reader).expect("a head");
+    let head = read_head(&mut reader).expect("a response head");
     (reader, head)
 }
 
-/// A body in chunks, to its end; none if it breaks off.
-fn chunked(reader: &mut impl BufRead) -> Option<Vec<u8>> {
+/// Reads a chunked body without trailers. Returns `None` if the stream ends before the body does, or if a chunk size is
+/// not valid.
+fn read_chunked_body(reader: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
         let length = usize::from_str_radix(line.trim_end().split(';').next()?, 16).ok()?;
-        let mut piece = vec![0; length + 2];
-        reader.read_exact(&mut piece).ok()?;
+        let mut chunk = vec![0; length + 2];
+        reader.read_exact(&mut chunk).ok()?;
         if length == 0 {
             return Some(body);
         }
-        body.extend_from_slice(&piece[..length]);
+        body.extend_from_slice(&chunk[..length]);
     }
 }
 
-fn in_chunks(body: &[u8], size: usize) -> Vec<u8> {
+/// Encodes a body in chunks of up to `chunk_bytes` bytes, with chunk extensions and a trailer.
+fn encode_chunked(body: &[u8], chunk_bytes: usize) -> Vec<u8> {
     let mut bytes = Vec::new();
-    for piece in body.chunks(size) {
-        bytes.extend_from_slice(format!("{:x};some=extension\r\n", piece.len()).as_bytes());
-        bytes.extend_from_slice(piece);
+    for chunk in body.chunks(chunk_bytes) {
+        bytes.extend_from_slice(format!("{:x};some=extension\r\n", chunk.len()).as_bytes());
+        bytes.extend_from_slice(chunk);
         bytes.extend_from_slice(b"\r\n");
     }
     bytes.extend_from_slice(b"0\r\nX-Trailer: t\r\n\r\n");
@@ -88,75 +95,80 @@
 #[test]
 fn a_long_response_is_streamed_unchanged_in_each_framing() {
     for framing in ["length", "chunks", "close"] {
-        let (go_on, gate) = mpsc::channel::<()>();
-        let gate = Mutex::new(gate);
+        let (resume, resumed) = mpsc::channel::<()>();
+        let resumed = Mutex::new(resumed);
         let (headers, bytes) = match framing {
-            "length" => (format!("Content-Length: {LONG}\r\n"), long(LONG)),
-            "chunks" => ("Transfer-Encoding: chunked\r\n".to_owned(), in_chunks(&long(LONG), 70_000)),
-            _ => ("Connection: close\r\n".to_owned(), long(LONG)),
+            "length" => {
+                (format!("Content-Length: {STREAMED_BODY_BYTES}\r\n"), patterned_body(STREAMED_BODY_BYTES))
+            }
+            "chunks" => (
+                "Transfer-Encoding: chunked\r\n".to_owned(),
+                encode_chunked(&patterned_body(STREAMED_BODY_BYTES), 70_000),
+            ),
+            _ => ("Connection: close\r\n".to_owned(), patterned_body(STREAMED_BODY_BYTES)),
         };
-        let opened = Arc::new(AtomicUsize::new(0));
-        let count = opened.clone();
-        let endpoint = raw_backend(move |_, mut stream| {
-            count.fetch_add(1, Ordering::SeqCst);
+        let connections_opened = Arc::new(AtomicUsize::new(0));
+        let opened = connections_opened.clone();
+        let endpoint = start_raw_endpoint(move |_, mut stream| {
+            opened.fetch_add(1, Ordering::SeqCst);
             let mut reader = BufReader::new(stream.try_clone().unwrap());
-            while head(&mut reader).is_some() {
+            while read_head(&mut reader).is_some() {
                 stream.write_all(format!("HTTP/1.1 200 OK\r\n{headers}\r\n").as_bytes()).unwrap();
-                let (first, rest) = bytes.split_at(200_000);
-                stream.write_all(first).unwrap();
-                // The rest comes only when the client has the first part.
-                gate.lock().unwrap().recv().unwrap();
+                let (first_part, rest) = bytes.split_at(200_000);
+                stream.write_all(first_part).unwrap();
+                // The rest is sent only after the client has received some of the first part.
+                resumed.lock().unwrap().recv().unwrap();
                 stream.write_all(rest).unwrap();
                 if framing == "close" {
                     return;
                 }
             }
         });
-        let node = start(&[endpoint]);
+        let node = start_node(&[endpoint]);
         for _ in 0..2 {
-            let (mut client, head) = ask_page(&node);
+            let (mut client, head) = request_page(&node);
             assert!(head.starts_with("http/1.1 200"), "{framing}: {head}");
-            let mut first = vec![0; 100_000];
-            client.read_exact(&mut first).unwrap();
-            go_on.send(()).unwrap();
+            let mut first_part = vec![0; 100_000];
+            client.read_exact(&mut first_part).unwrap();
+            resume.send(()).unwrap();
             let body = if head.contains("transfer-encoding: chunked") {
-                let mut all = first.as_slice().chain(client);
-                chunked(&mut BufReader::new(&mut all)).expect("a whole body")
+                let mut encoded_body = first_part.as_slice().chain(client);
+                read_chunked_body(&mut BufReader::new(&mut encoded_body)).expect("a complete body")
             } else {
-                let mut rest = vec![0; LONG - first.len()];
+                let mut rest = vec![0; STREAMED_BODY_BYTES - first_part.len()];
                 client.read_exact(&mut rest).unwrap();
-                [first, rest].concat()
+                [first_part, rest].concat()
             };
-            assert!(body == long(LONG), "{framing}: the body changed on its way");
+            assert!(body == patterned_body(STREAMED_BODY_BYTES), "{framing}: the body was changed");
             wait_until_connection_is_reusable();
         }
-        let connections = if framing == "close" { 2 } else { 1 };
-        assert_eq!(opened.load(Ordering::SeqCst), connections, "{framing}");
+        let expected_connections = if framing == "close" { 2 } else { 1 };
+        assert_eq!(connections_opened.load(Ordering::SeqCst), expected_connections, "{framing}");
     }
 }
 
 #[test]
 fn a_long_response_that_breaks_off_looks_incomplete_and_is_not_repeated() {
-    let asked = Arc::new(AtomicUsize::new(0));
+    let request_count = Arc::new(AtomicUsize::new(0));
     for (framing, version) in [("length", "1.1"), ("chunks", "1.1"), ("chunks", "1.0")] {
-        let count = asked.clone();
-        let endpoint = raw_backend(move |_, mut stream| {
+        let count = request_count.clone();
+        let endpoint = start_raw_endpoint(move |_, mut stream| {
             let mut reader = BufReader::new(stream.try_clone().unwrap());
-            if head(&mut reader).is_none() {
+            if read_head(&mut reader).is_none() {
                 return;
             }
             count.fetch_add(1, Ordering::SeqCst);
-            let body = long(500_000);
+            let body = patterned_body(500_000);
             let (headers, bytes) = match framing {
                 "length" => ("Content-Length: 600000", body),
                 _ => ("Transfer-Encoding: chunked", [&b"92710\r\n"[..], &body].concat()),
             };
             stream.write_all(format!("HTTP/1.1 200 OK\r\n{headers}\r\n\r\n").as_bytes()).unwrap();
             stream.write_all(&bytes).unwrap();
-            // Closed in the middle.
+            // Dropping `stream` closes the connection in the middle of the body.
         });
-        let node = start(&[endpoint]);
-        let before = asked.load(Ordering::SeqCst);
+        let node = start_node(&[endpoint]);
+        let count_before = request_count.load(Ordering::SeqCst);
         let mut client = TcpStream::connect(node.address).unwrap();
         client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let text = String::from_utf8(request("page", 4000))
@@ -164,53 +176,56 @@
             .replace("HTTP/1.1", &format!("HTTP/{version}"));
         client.write_all(text.as_bytes()).unwrap();
         let mut bytes = Vec::new();
-        let end = client.read_to_end(&mut bytes);
-        let answer = String::from_utf8_lossy(&bytes[..200.min(bytes.len())]).to_ascii_lowercase();
-        let told = answer.contains("content-length: 600000")
-            || answer.contains("chunked") && !bytes.ends_with(b"0\r\n\r\n");
-        assert!(told || end.is_err(), "{framing}, {version}: looks whole: {answer}");
-        assert_eq!(asked.load(Ordering::SeqCst), before + 1, "{framing}, {version}");
+        let read_result = client.read_to_end(&mut bytes);
+        let beginning = String::from_utf8_lossy(&bytes[..200.min(bytes.len())]).to_ascii_lowercase();
+        let lacks_announced_end = beginning.contains("content-length: 600000")
+            || beginning.contains("chunked") && !bytes.ends_with(b"0\r\n\r\n");
+        assert!(
+            lacks_announced_end || read_result.is_err(),
+            "{framing}, {version}: the response looks complete: {beginning}"
+        );
+        assert_eq!(request_count.load(Ordering::SeqCst), count_before + 1, "{framing}, {version}");
         assert_eq!(node.readiness_status(), 200);
     }
 }
 
 #[test]
-fn a_client_that_stops_reading_costs_no_memory_and_frees_the_endpoint_when_it_leaves() {
-    let open = Arc::new(AtomicUsize::new(0));
-    let (count, body) = (open.clone(), long(LONG));
-    let endpoint = raw_backend(move |_, mut stream| {
+fn a_client_that_stops_reading_takes_no_memory_and_its_disconnect_frees_the_endpoint() {
+    let responses_in_progress = Arc::new(AtomicUsize::new(0));
+    let (in_progress, body) = (responses_in_progress.clone(), patterned_body(STREAMED_BODY_BYTES));
+    let endpoint = start_raw_endpoint(move |_, mut stream| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        if head(&mut reader).is_some() {
-            count.fetch_add(1, Ordering::SeqCst);
-            let _ =
-                stream.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n").as_bytes());
+        if read_head(&mut reader).is_some() {
+            in_progress.fetch_add(1, Ordering::SeqCst);
+            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {STREAMED_BODY_BYTES}\r\n\r\n");
+            let _ = stream.write_all(head.as_bytes());
             let _ = stream.write_all(&body);
-            count.fetch_sub(1, Ordering::SeqCst);
+            in_progress.fetch_sub(1, Ordering::SeqCst);
         }
     });
-    let node = start(&[endpoint]);
-    let clients: Vec<_> = (0..30).map(|_| ask_page(&node)).collect();
-    wait_for("all answers have begun", || open.load(Ordering::SeqCst) == 30);
-    assert!(node.resident_memory_kb() < 24 * 1024, "{} KB", node.resident_memory_kb());
+    let node = start_node(&[endpoint]);
+    let clients: Vec<_> = (0..30).map(|_| request_page(&node)).collect();
+    wait_for("all responses have begun", || responses_in_progress.load(Ordering::SeqCst) == 30);
+    assert!(node.resident_memory_kb() < 24 * 1024, "{} KiB", node.resident_memory_kb());
     drop(clients);
-    wait_for("the endpoint's connections end", || open.load(Ordering::SeqCst) == 0);
-    wait_for("and their descriptors", || node.descriptor_count() < 24);
+    wait_for("the endpoint's responses end", || responses_in_progress.load(Ordering::SeqCst) == 0);
+    wait_for("the node closes the descriptors", || node.descriptor_count() < 24);
 }
 
 #[test]
-fn a_response_read_at_the_slowest_allowed_pace_is_completed() {
-    let body = long(LONG);
-    let endpoint = raw_backend(move |_, mut stream| {
+fn a_response_read_at_the_slowest_allowed_rate_is_completed() {
+    let body = patterned_body(STREAMED_BODY_BYTES);
+    let endpoint = start_raw_endpoint(move |_, mut stream| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        if head(&mut reader).is_some() {
-            let _ =
-                stream.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n").as_bytes());
+        if read_head(&mut reader).is_some() {
+            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {STREAMED_BODY_BYTES}\r\n\r\n");
+            let _ = stream.write_all(head.as_bytes());
             let _ = stream.write_all(&body);
         }
     });
-    let node = start(&[endpoint]);
-    // A client that the system, too, reads little ahead for: 64 kB a second, for longer than one that takes
-    // nothing at all is left alone.
+    let node = start_node(&[endpoint]);
+    // The client reads 64 kB per second for 13 s, which is longer than the timeout of a client that reads nothing
+    // (10 s). A small receive buffer keeps the kernel from reading much ahead of it.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(16 * 1024).unwrap();
     socket.connect(&node.address.into()).unwrap();
@@ -218,26 +233,26 @@
     client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     client.write_all(&request("page", 4000)).unwrap();
     let mut reader = BufReader::with_capacity(1024, client);
-    assert!(head(&mut reader).expect("a head").starts_with("http/1.1 200"));
-    let mut taken = vec![0; 13 * 64_000];
-    for piece in taken.chunks_mut(6_400) {
-        reader.read_exact(piece).unwrap();
+    assert!(read_head(&mut reader).expect("a response head").starts_with("http/1.1 200"));
+    let mut slow_part = vec![0; 13 * 64_000];
+    for slice in slow_part.chunks_mut(6_400) {
+        reader.read_exact(slice).unwrap();
         thread::sleep(Duration::from_millis(100));
     }
-    let mut rest = vec![0; LONG - taken.len()];
-    reader.read_exact(&mut rest).expect("the rest of the answer");
-    assert!([taken, rest].concat() == long(LONG), "the body changed on its way");
+    let mut rest = vec![0; STREAMED_BODY_BYTES - slow_part.len()];
+    reader.read_exact(&mut rest).expect("the rest of the response");
+    assert!([slow_part, rest].concat() == patterned_body(STREAMED_BODY_BYTES), "the body was changed");
 }
 
-/// What an endpoint got: heads and bodies.
-type Got = Arc<Mutex<Vec<(String, Vec<u8>)>>>;
+/// The requests that an endpoint has received, each as its head in lower case and its decoded body.
+type ReceivedRequests = Arc<Mutex<Vec<(String, Vec<u8>)>>>;
 
-/// An endpoint that takes a body in either framing and answers "ok".
-fn taking(got: &Got) -> SocketAddr {
-    let got = got.clone();
-    raw_backend(move |_, mut stream| {
+/// Starts an endpoint that reads requests with a body in either framing, records them, and responds with status 200.
+fn start_recording_endpoint(received: &ReceivedRequests) -> SocketAddr {
+    let received = received.clone();
+    start_raw_endpoint(move |_, mut stream| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        while let Some(head) = head(&mut reader) {
+        while let Some(head) = read_head(&mut reader) {
             let length =
                 head.split("content-length: ").nth(1).and_then(|l| l.split('\r').next()?.parse().ok());
             let body = match length {
@@ -245,17 +260,19 @@
                     let mut body = vec![0; length];
                     reader.read_exact(&mut body).ok().map(|()| body)
                 }
-                None if head.contains("transfer-encoding: chunked") => chunked(&mut reader),
+                None if head.contains("transfer-encoding: chunked") => read_chunked_body(&mut reader),
                 None => Some(Vec::new()),
             };
             let Some(body) = body else { return };
-            got.lock().unwrap().push((head, body));
+            received.lock().unwrap().push((head, body));
             stream.write_all(&response("200 OK", "", b"ok")).unwrap();
         }
     })
 }
 
-fn post(headers: &str) -> String {
+/// Returns the head of a POST request of class `pay`, with an id and an idempotency key of its own. Its client waits
+/// for 900 ms. Each line of `headers` ends with CRLF.
+fn post_head(headers: &str) -> String {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let n = NEXT.fetch_add(1, Ordering::SeqCst);
     format!(
@@ -266,126 +283,138 @@
 
 #[test]
 fn a_request_body_is_forwarded_unchanged_in_each_framing() {
-    let got = Got::default();
-    let node = start(&[taking(&got)]);
+    let received = ReceivedRequests::default();
+    let node = start_node(&[start_recording_endpoint(&received)]);
     let mut client = Client::connect(node.address);
     for length in [0, 10, 64 * 1024, 64 * 1024 + 1, 3_000_000] {
         for framing in ["length", "chunks"] {
-            let body = long(length);
+            let body = patterned_body(length);
             let bytes = match framing {
                 "length" => {
-                    [post(&format!("Content-Length: {length}\r\n")).into_bytes(), body.clone()].concat()
+                    let head = post_head(&format!("Content-Length: {length}\r\n"));
+                    [head.into_bytes(), body.clone()].concat()
                 }
                 _ => {
-                    [post("Transfer-Encoding: chunked\r\n").into_bytes(), in_chunks(&body, 5_000)].concat()
+                    let head = post_head("Transfer-Encoding: chunked\r\n");
+                    [head.into_bytes(), encode_chunked(&body, 5_000)].concat()
                 }
             };
             assert_eq!(client.send_and_receive(&bytes).status(), 200, "{framing}, {length}");
-            let (head, there) = got.lock().unwrap().pop().expect("a request");
-            assert!(there == body, "{framing}, {length}: the body changed on its way");
+            let (head, received_body) = received.lock().unwrap().pop().expect("a request");
+            assert!(received_body == body, "{framing}, {length}: the body was changed");
             assert!(!head.contains("x-trailer"), "{head}");
             wait_until_connection_is_reusable();
         }
     }
-    // Chunks that look like heads of requests, which tell a length of their own.
-    let bait = b"\r\nContent-Length: 5\r\n\r\nPOST / HTTP/1.1\r\nContent-Length: 7\r\n\r\n".repeat(20);
+    // A body that contains text like request heads with a length. The node counts the `Content-Length` lines that it
+    // receives, to detect requests with both framings, and must not count those in a body.
+    let body_like_heads =
+        b"\r\nContent-Length: 5\r\n\r\nPOST / HTTP/1.1\r\nContent-Length: 7\r\n\r\n".repeat(20);
     for _ in 0..3 {
-        let bytes = [post("Transfer-Encoding: chunked\r\n").into_bytes(), in_chunks(&bait, 300)].concat();
+        let head = post_head("Transfer-Encoding: chunked\r\n");
+        let bytes = [head.into_bytes(), encode_chunked(&body_like_heads, 300)].concat();
         assert_eq!(client.send_and_receive(&bytes).status(), 200);
-        assert!(got.lock().unwrap().pop().expect("a request").1 == bait);
+        assert!(received.lock().unwrap().pop().expect("a request").1 == body_like_heads);
         wait_until_connection_is_reusable();
     }
-    // One that waits to be told to go on, and one that is written byte by byte.
-    client.send(post("Expect: 100-continue\r\nContent-Length: 4\r\n").as_bytes());
+    // A request whose client waits for `100 Continue` before it sends the body, and one that is sent byte by byte.
+    client.send(post_head("Expect: 100-continue\r\nContent-Length: 4\r\n").as_bytes());
     assert_eq!(client.read_response().unwrap().status(), 100);
     assert_eq!(client.send_and_receive(b"body").status(), 200);
-    for byte in post("Content-Length: 4\r\n").bytes().chain(*b"body") {
+    for byte in post_head("Content-Length: 4\r\n").bytes().chain(*b"body") {
         client.send(&[byte]);
     }
     assert_eq!(client.read_response().unwrap().status(), 200);
 }
 
 #[test]
-fn a_long_request_body_is_streamed_and_its_time_counts_from_its_end() {
-    let (seen, first) = mpsc::channel();
-    let seen = Mutex::new(seen);
-    let endpoint = raw_backend(move |_, mut stream| {
+fn a_long_request_body_is_streamed_and_the_timeout_counts_from_its_end() {
+    let (sender, first_part_received) = mpsc::channel();
+    let sender = Mutex::new(sender);
+    let endpoint = start_raw_endpoint(move |_, mut stream| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        if head(&mut reader).is_none() {
+        if read_head(&mut reader).is_none() {
             return;
         }
         let mut body = vec![0; 300_000];
         reader.read_exact(&mut body[..100_000]).unwrap();
-        seen.lock().unwrap().send(()).unwrap();
+        sender.lock().unwrap().send(()).unwrap();
         reader.read_exact(&mut body[100_000..]).unwrap();
-        assert!(body == long(300_000));
+        assert!(body == patterned_body(300_000));
         stream.write_all(&response("200 OK", "", b"ok")).unwrap();
     });
-    let node = start(&[endpoint]);
+    let node = start_node(&[endpoint]);
     let mut client = Client::connect(node.address);
-    client.send(post("Content-Length: 300000\r\n").as_bytes());
-    let body = long(300_000);
+    client.send(post_head("Content-Length: 300000\r\n").as_bytes());
+    let body = patterned_body(300_000);
     client.send(&body[..150_000]);
-    first.recv_timeout(WAIT_TIMEOUT).expect("the first part goes on");
-    // Longer than the client will wait for the answer.
+    first_part_received.recv_timeout(WAIT_TIMEOUT).expect("the endpoint receives the first part");
+    // Longer than the 900 ms for which the client waits for the response.
     thread::sleep(Duration::from_millis(1200));
     client.send(&body[150_000..]);
     assert_eq!(client.read_response().unwrap().status(), 200);
 }
 
 #[test]
-fn a_slow_request_body_counts_from_its_end_and_a_stalled_one_is_cut() {
-    let got = Got::default();
-    let mut node = start(&[taking(&got)]);
+fn the_timeout_counts_from_the_end_of_a_slow_request_body_and_a_stalled_body_is_rejected() {
+    let received = ReceivedRequests::default();
+    let mut node = start_node(&[start_recording_endpoint(&received)]);
     let mut client = Client::connect(node.address);
-    client.send(post("Content-Length: 4\r\n").as_bytes());
+    client.send(post_head("Content-Length: 4\r\n").as_bytes());
     thread::sleep(Duration::from_millis(1200));
     assert_eq!(client.send_and_receive(b"body").status(), 200);
     for (headers, sent) in
         [("Content-Length: 10\r\n", &b"abc"[..]), ("Transfer-Encoding: chunked\r\n", b"5\r\nab")]
     {
         client = Client::connect(node.address);
-        client.send(post(headers).as_bytes());
+        client.send(post_head(headers).as_bytes());
         client.send(sent);
         assert_eq!(client.read_response().map(|m| m.status()), Some(408), "{headers}");
     }
-    assert_eq!(got.lock().unwrap().len(), 1);
+    assert_eq!(received.lock().unwrap().len(), 1);
     node.terminate();
     assert!(node.wait_for_exit().success());
     assert!(node.log().contains("rejected: 1 \"the body did not come in time\""));
 }
 
 #[test]
-fn a_streamed_request_body_is_repeated_only_if_none_of_it_was_sent() {
-    let got = Got::default();
-    let (open, refused) = (taking(&got), free_address());
-    let node = start(&[open, refused]);
+fn a_request_with_a_streamed_body_is_repeated_only_if_none_of_it_was_sent() {
+    let received = ReceivedRequests::default();
+    let (listening, refusing) = (start_recording_endpoint(&received), free_address());
+    let node = start_node(&[listening, refusing]);
     for _ in 0..8 {
-        let bytes = [post("Content-Length: 300000\r\n").into_bytes(), long(300_000)].concat();
-        assert_eq!(send_request(node.address, &bytes).status(), 200, "a refused connection costs nothing");
+        let head = post_head("Content-Length: 300000\r\n");
+        let bytes = [head.into_bytes(), patterned_body(300_000)].concat();
+        assert_eq!(
+            send_request(node.address, &bytes).status(),
+            200,
+            "a refused connection failed the request"
+        );
     }
-    assert_eq!(got.lock().unwrap().len(), 8);
-    // One that breaks in the middle of the body: no second attempt, and no doubt that it never ran.
-    let begun = Arc::new(AtomicUsize::new(0));
-    let breaking: Vec<_> = (0..2)
+    assert_eq!(received.lock().unwrap().len(), 8);
+    // Both endpoints close the connection in the middle of the body, which cannot be sent again. An endpoint executes
+    // nothing before it has the complete body, so the request has not run, and the node responds with 503, not 502.
+    let request_count = Arc::new(AtomicUsize::new(0));
+    let closing_endpoints: Vec<_> = (0..2)
         .map(|_| {
-            let count = begun.clone();
-            raw_backend(move |_, stream| {
+            let count = request_count.clone();
+            start_raw_endpoint(move |_, stream| {
                 let mut reader = BufReader::new(stream);
-                if head(&mut reader).is_some() {
+                if read_head(&mut reader).is_some() {
                     count.fetch_add(1, Ordering::SeqCst);
                     reader.read_exact(&mut vec![0; 200_000]).unwrap();
                 }
             })
         })
         .collect();
-    let node = start(&breaking);
-    let bytes = [post("Content-Length: 8000000\r\n").into_bytes(), long(8_000_000)].concat();
+    let node = start_node(&closing_endpoints);
+    let head = post_head("Content-Length: 8000000\r\n");
+    let bytes = [head.into_bytes(), patterned_body(8_000_000)].concat();
     let mut client = Client::connect(node.address);
     let mut writer = client.stream.try_clone().unwrap();
-    // It may be cut off while it still writes.
-    let writing = thread::spawn(move || drop(writer.write_all(&bytes)));
+    // Write errors are ignored: the node may close the connection before the client has sent the complete body.
+    let write_thread = thread::spawn(move || drop(writer.write_all(&bytes)));
     assert_eq!(client.read_response().map(|m| m.status()), Some(503));
-    writing.join().unwrap();
-    assert_eq!(begun.load(Ordering::SeqCst), 1);
+    write_thread.join().unwrap();
+    assert_eq!(request_count.load(Ordering::SeqCst), 1);
 }
