--- a/tests/node_hostile_clients.rs
+++ b/tests/node_hostile_clients.rs
@@ -1,5 +1,7 @@
-//! Clients that do not behave, while a usual one is served: each gets an error or a close soon, none reaches a
-//! endpoint, and none takes what others need.
+//! Tests clients that are silent, stop reading, or send incomplete or invalid requests.
+//!
+//! The node must soon end the connection of such a client, with or without an error response. No invalid request may
+//! reach an endpoint, and no such client may take memory or descriptors that the requests of other clients need.
 mod node;
 
 use node::*;
@@ -8,57 +10,59 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What such a client is owed an end in, with room for a busy machine.
-const SOON: Duration = Duration::from_secs(5);
+/// The time within which the node must end the connection of a hostile client, with a margin for a busy machine.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The node ends this connection, with or without an error before.
-fn ends(client: &mut Client) {
-    client.stream.set_read_timeout(Some(SOON)).unwrap();
-    let mut all = Vec::new();
-    // A reset is an end too.
-    let read = client.stream.read_to_end(&mut all);
-    let open = matches!(&read, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
-    assert!(!open, "still open");
-    assert!(!all.starts_with(b"HTTP/1.1 2"), "served: {:?}", String::from_utf8_lossy(&all));
+/// Asserts that the node ends the connection without having served a request on it. An error response before the end
+/// is allowed.
+fn assert_connection_ends(client: &mut Client) {
+    client.stream.set_read_timeout(Some(CLOSE_TIMEOUT)).unwrap();
+    let mut received = Vec::new();
+    // Only a timeout means that the connection is still open. A reset ends it, too.
+    let read_result = client.stream.read_to_end(&mut received);
+    let is_open = matches!(&read_result, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
+    assert!(!is_open, "the connection is still open");
+    let text = String::from_utf8_lossy(&received);
+    assert!(!received.starts_with(b"HTTP/1.1 2"), "the request was served: {text:?}");
 }
 
 #[test]
-fn silent_and_half_sent_requests_are_ended_while_others_are_served() {
+fn clients_with_silent_or_incomplete_requests_are_disconnected_while_others_are_served() {
     let record = RequestRecord::default();
     let addresses = start_endpoints(2, &record, |_, _| ok(b"x"));
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
-    let halves: [&[u8]; 5] = [
+    let incomplete_requests: [&[u8]; 5] = [
         b"",
         b"GET /api HT",
         b"GET /api HTTP/1.1\r\nHost: n\r\nX-Trace-Id: a1\r\nX-Qos: page\r\nX-Expires-In-Ms: 4000\r\n",
         b"POST /api HTTP/1.1\r\nHost: n\r\nX-Trace-Id: a2\r\nX-Qos: pay\r\nIdempotency-Key: k\r\nX-Expires-In-Ms: 4000\r\nContent-Length: 9\r\n\r\nhalf",
         b"\x16\x03\x01\x02",
     ];
-    let begun = Instant::now();
-    let mut rude: Vec<Client> = halves
+    let started_at = Instant::now();
+    let mut hostile_clients: Vec<Client> = incomplete_requests
         .iter()
-        .map(|half| {
+        .map(|bytes| {
             let mut client = Client::connect(node.address);
-            assert!(client.send(half));
+            assert!(client.send(bytes));
             client
         })
         .collect();
-    let over = AtomicBool::new(false);
+    let hostile_clients_ended = AtomicBool::new(false);
     thread::scope(|scope| {
-        let usual = scope.spawn(|| {
+        let regular_client = scope.spawn(|| {
             let mut served = 0;
             let mut client = Client::connect(node.address);
-            while !over.load(Ordering::SeqCst) {
+            while !hostile_clients_ended.load(Ordering::SeqCst) {
                 assert_eq!(client.send_and_receive(&request("page", 4000)).status(), 200);
                 served += 1;
             }
             served
         });
-        rude.iter_mut().for_each(ends);
-        over.store(true, Ordering::SeqCst);
-        assert!(begun.elapsed() < SOON);
-        assert_eq!(usual.join().unwrap(), record.count());
+        hostile_clients.iter_mut().for_each(assert_connection_ends);
+        hostile_clients_ended.store(true, Ordering::SeqCst);
+        assert!(started_at.elapsed() < CLOSE_TIMEOUT);
+        assert_eq!(regular_client.join().unwrap(), record.count());
     });
 }
 
@@ -68,28 +72,30 @@
     let addresses = start_endpoints(1, &record, |_, _| ok(&vec![b'x'; 60_000]));
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
-    let before = node.descriptor_count();
-    // Far more asked for than sockets hold, and nothing read.
-    let mut deaf = Client::connect(node.address);
-    deaf.stream.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
-    (0..400).take_while(|_| deaf.send(&request("page", 4000))).for_each(drop);
-    let to_backends = || record.open_connections() as usize;
-    wait_for("the one who reads nothing is closed", || node.descriptor_count() <= before + to_backends());
-    // 60 MB that nobody wants.
+    let descriptors_before = node.descriptor_count();
+    // This client requests far more than the socket buffers hold, and reads nothing.
+    let mut non_reading = Client::connect(node.address);
+    non_reading.stream.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
+    (0..400).take_while(|_| non_reading.send(&request("page", 4000))).for_each(drop);
+    let endpoint_connections = || record.open_connections() as usize;
+    wait_for("the node closes the connection of the client that reads nothing", || {
+        node.descriptor_count() <= descriptors_before + endpoint_connections()
+    });
+    // This client sends a body of 60 MB, which is over the limit of 32 MiB.
     let mut endless = Client::connect(node.address);
     let head =
         "POST /api HTTP/1.1\r\nHost: n\r\nX-Trace-Id: b1\r\nX-Qos: bid\r\nContent-Length: 60000000\r\n\r\n";
     assert!(endless.send(head.as_bytes()));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let part = vec![b'x'; 1_000_000];
     (0..60).take_while(|_| endless.send(&part)).for_each(drop);
-    ends(&mut endless);
-    assert!(begun.elapsed() < SOON);
-    assert!(node.resident_memory_kb() < 48 * 1024, "{} KB", node.resident_memory_kb());
+    assert_connection_ends(&mut endless);
+    assert!(started_at.elapsed() < CLOSE_TIMEOUT);
+    assert!(node.resident_memory_kb() < 48 * 1024, "{} KiB", node.resident_memory_kb());
 }
 
 #[test]
-fn the_trace_id_of_an_open_request_is_rejected_until_it_is_answered() {
+fn a_trace_id_is_rejected_while_another_request_with_it_is_open() {
     let record = RequestRecord::default();
     let addresses = start_endpoints(2, &record, |n, _| {
         if n == 0 {
@@ -99,23 +105,23 @@
     });
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
-    let first = request("page", 4000);
-    let mut usual = Client::connect(node.address);
-    assert!(usual.send(&first));
-    wait_for("the request is open", || record.count() == 1);
-    let refused = send_request(node.address, &first);
-    assert_eq!((refused.status(), refused.header("connection")), (409, Some("close")));
-    assert_eq!(usual.read_response().unwrap().status(), 200);
+    let first_request = request("page", 4000);
+    let mut client = Client::connect(node.address);
+    assert!(client.send(&first_request));
+    wait_for("the request reaches an endpoint", || record.count() == 1);
+    let rejection = send_request(node.address, &first_request);
+    assert_eq!((rejection.status(), rejection.header("connection")), (409, Some("close")));
+    assert_eq!(client.read_response().unwrap().status(), 200);
     assert_eq!(record.count(), 1);
-    // Also free after a client that left.
-    let second = request("page", 4000);
+    // Clients that disconnect before their request head is complete do not occupy its trace id either.
+    let second_request = request("page", 4000);
     for _ in 0..3 {
-        let mut leaver = Client::connect(node.address);
-        assert!(leaver.send(&second[..second.len() - 2]));
-        drop(leaver);
+        let mut client = Client::connect(node.address);
+        assert!(client.send(&second_request[..second_request.len() - 2]));
+        drop(client);
     }
-    for id in [first, second] {
-        assert_eq!(send_request(node.address, &id).status(), 200);
+    for bytes in [first_request, second_request] {
+        assert_eq!(send_request(node.address, &bytes).status(), 200);
     }
 }
 
@@ -127,26 +133,27 @@
     let node = Node::start(discovery.address, |c| {
         c["limits"] = serde_json::json!({"cores": 1.0, "memory_mb": 32, "sockets": 256});
     });
-    let mut usual = Client::connect(node.address);
-    let mut strangers = Vec::new();
+    let mut regular_client = Client::connect(node.address);
+    let mut hostile_clients = Vec::new();
     for round in 0..6 {
         for n in 0..100 {
-            let mut stranger = Client::connect(node.address);
-            // Some say nothing, some begin, some send what is no request.
-            stranger.send([&b""[..], b"POST /api HTTP/1.1\r\nX-", b"\0\0\r\n\r\n"][n % 3]);
-            strangers.push(stranger);
+            let mut client = Client::connect(node.address);
+            // A third of the clients sends nothing, a third an incomplete request, and a third no valid HTTP.
+            client.send([&b""[..], b"POST /api HTTP/1.1\r\nX-", b"\0\0\r\n\r\n"][n % 3]);
+            hostile_clients.push(client);
         }
-        assert_eq!(usual.send_and_receive(&request("bid", 900)).status(), 200, "round {round}");
+        assert_eq!(regular_client.send_and_receive(&request("bid", 900)).status(), 200, "round {round}");
         wait_until_connection_is_reusable();
         assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200, "round {round}");
         assert!(node.descriptor_count() <= 256, "{} descriptors", node.descriptor_count());
         wait_until_connection_is_reusable();
-        // A connection to an endpoint is dearer than a stranger's: none is made anew for these.
+        // When descriptors are scarce, the node closes connections of hostile clients, not its connections to endpoints,
+        // so it never has to open the latter again.
         assert!(record.connections_opened.load(Ordering::SeqCst) <= 4, "{:?}", record.connections_opened);
     }
-    strangers.iter_mut().for_each(ends);
+    hostile_clients.iter_mut().for_each(assert_connection_ends);
     assert_eq!(record.count(), 12);
-    assert!(node.resident_memory_kb() < 32 * 1024, "{} KB", node.resident_memory_kb());
+    assert!(node.resident_memory_kb() < 32 * 1024, "{} KiB", node.resident_memory_kb());
 }
 
 #[test]
@@ -159,13 +166,13 @@
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| c["limits"]["memory_mb"] = 1.into());
     let body = vec![b'x'; 60_000];
-    // What is announced and held back takes nothing from others.
-    let mut holders: Vec<Client> = (0..20).map(|_| Client::connect(node.address)).collect();
-    for (n, holder) in holders.iter_mut().enumerate() {
+    // Clients that announce a body and do not send it take no memory from others.
+    let mut withholding_clients: Vec<Client> = (0..20).map(|_| Client::connect(node.address)).collect();
+    for (n, client) in withholding_clients.iter_mut().enumerate() {
         let head = format!(
             "POST /api HTTP/1.1\r\nHost: n\r\nX-Trace-Id: h{n}\r\nX-Qos: bid\r\nContent-Length: 60000\r\n\r\n"
         );
-        assert!(holder.send(head.as_bytes()));
+        assert!(client.send(head.as_bytes()));
     }
     assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200);
     let mut clients: Vec<Client> = (0..12).map(|_| Client::connect(node.address)).collect();
@@ -175,12 +182,15 @@
         );
         assert!(client.send(head.as_bytes()) && client.send(&body));
     }
-    let answers: Vec<Message> = clients.iter_mut().map(|c| c.read_response().unwrap()).collect();
-    let of = |status| answers.iter().filter(move |a| a.status() == status);
-    assert!(of(200).count() >= 3, "{answers:?}");
-    assert!(of(503).count() >= 1 && of(503).all(|a| a.header("retry-after").is_some()), "{answers:?}");
-    // And what they took comes back.
-    wait_for("room again", || {
+    let responses: Vec<Message> = clients.iter_mut().map(|c| c.read_response().unwrap()).collect();
+    let with_status = |status| responses.iter().filter(move |r| r.status() == status);
+    assert!(with_status(200).count() >= 3, "{responses:?}");
+    assert!(
+        with_status(503).count() >= 1 && with_status(503).all(|r| r.header("retry-after").is_some()),
+        "{responses:?}"
+    );
+    // Bodies release their memory at the end of their requests.
+    wait_for("there is memory for a body again", || {
         let head =
             "POST /api HTTP/1.1\r\nHost: n\r\nX-Trace-Id: d\r\nX-Qos: bid\r\nContent-Length: 60000\r\n\r\n";
         try_request(node.address, &[head.as_bytes(), &body].concat()).is_some_and(|m| m.status() == 200)
