--- a/tests/node_malformed_responses.rs
+++ b/tests/node_malformed_responses.rs
@@ -1,62 +1,67 @@
-//! Answers that are none, and answers with more behind them than belongs to them.
+//! Tests malformed responses, and valid responses with bytes before or after them that do not belong to them.
 mod node;
 
 use node::*;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Each way to spoil an answer; the connection stays open.
-fn malformed() -> Vec<(&'static str, Vec<u8>)> {
-    let whole = |head: &str| format!("HTTP/1.1 {head}\r\n\r\nbody").into_bytes();
+/// Returns malformed responses, each with a description of its fault. The endpoint keeps the connection open after it.
+fn malformed_responses() -> Vec<(&'static str, Vec<u8>)> {
+    let with_body = |head: &str| format!("HTTP/1.1 {head}\r\n\r\nbody").into_bytes();
     vec![
-        ("noise", (0..=255).cycle().take(600).collect()),
-        ("no status", whole("two hundred\r\nContent-Length: 4")),
-        ("a header with no colon", whole("200 OK\r\nContent-Length 4")),
-        ("a head without end", ["HTTP/1.1 200 OK\r\nX-Long: ", &"x".repeat(400_000)].concat().into_bytes()),
-        ("a length that is none", whole("200 OK\r\nContent-Length: many")),
-        ("a negative length", whole("200 OK\r\nContent-Length: -4")),
-        ("two lengths", whole("200 OK\r\nContent-Length: 4\r\nContent-Length: 3")),
-        ("both framings", whole("200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked")),
-        ("no length", whole("200 OK")),
-        ("a body that is too short", whole("200 OK\r\nContent-Length: 400")),
-        ("chunks that are none", whole("200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")),
-        ("3 GB", [whole("200 OK\r\nContent-Length: 3000000000"), vec![b'x'; 500_000]].concat()),
-        ("another protocol", whole("101 Switching Protocols\r\nUpgrade: other")),
+        ("bytes that are not HTTP", (0..=255).cycle().take(600).collect()),
+        ("no status", with_body("two hundred\r\nContent-Length: 4")),
+        ("a header without a colon", with_body("200 OK\r\nContent-Length 4")),
+        ("an endless head", ["HTTP/1.1 200 OK\r\nX-Long: ", &"x".repeat(400_000)].concat().into_bytes()),
+        ("a length that is not a number", with_body("200 OK\r\nContent-Length: many")),
+        ("a negative length", with_body("200 OK\r\nContent-Length: -4")),
+        ("two lengths", with_body("200 OK\r\nContent-Length: 4\r\nContent-Length: 3")),
+        ("both framings", with_body("200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked")),
+        ("no length on a connection that stays open", with_body("200 OK")),
+        ("a body that is too short", with_body("200 OK\r\nContent-Length: 400")),
+        ("an invalid chunk size", with_body("200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")),
+        (
+            "a body of 3 GB",
+            [with_body("200 OK\r\nContent-Length: 3000000000"), vec![b'x'; 500_000]].concat(),
+        ),
+        ("a switch to another protocol", with_body("101 Switching Protocols\r\nUpgrade: other")),
     ]
 }
 
 #[test]
 fn a_malformed_response_is_a_failed_attempt_that_may_have_run() {
-    for (kind, bytes) in malformed() {
+    for (fault, bytes) in malformed_responses() {
         let record = RequestRecord::default();
-        // The first answer to each request is malformed, the second is not.
+        // The first response to each request is malformed, the second one is not.
         let addresses = start_endpoints(4, &record, move |n, _| {
             if n % 2 == 0 { ScriptedResponse::Send(bytes.clone()) } else { ok(b"good") }
         });
         let discovery = DiscoveryStub::start(all_up(&addresses));
         let mut node = Node::start(discovery.address, |_| {});
-        // Long after the time that a malformed answer is seen in, long before any deadline.
-        let soon = Duration::from_millis(1200);
+        // Far longer than the node takes to detect a malformed response, and less than an attempt's timeout (1.5 s).
+        let max_response_time = Duration::from_millis(1200);
         for class in ["page", "pay"] {
-            let (before, begun) = (record.count(), Instant::now());
-            let answer = send_request(node.address, &request(class, 4000));
-            assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]), "{kind}, {class}");
-            assert!(begun.elapsed() < soon, "{kind}: {:?}", begun.elapsed());
-            assert_eq!(record.count(), before + 2, "{kind}, {class}");
+            let (count_before, sent_at) = (record.count(), Instant::now());
+            let response = send_request(node.address, &request(class, 4000));
+            assert_eq!((response.status(), &response.body[..]), (200, &b"good"[..]), "{fault}, {class}");
+            assert!(sent_at.elapsed() < max_response_time, "{fault}: {:?}", sent_at.elapsed());
+            assert_eq!(record.count(), count_before + 2, "{fault}, {class}");
         }
-        // An unsafe one may have run: failed, no promise, no second attempt.
-        let before = record.count();
-        assert_eq!(send_request(node.address, &request("bid", 900)).status(), 502, "{kind}");
-        assert_eq!(record.count(), before + 1, "{kind}");
-        assert!(node.resident_memory_kb() < 48 * 1024, "{kind}: {} KB", node.resident_memory_kb());
+        // A request that is not idempotent may have run, so it fails with 502 and is not repeated.
+        let count_before = record.count();
+        assert_eq!(send_request(node.address, &request("bid", 900)).status(), 502, "{fault}");
+        assert_eq!(record.count(), count_before + 1, "{fault}");
+        assert!(node.resident_memory_kb() < 48 * 1024, "{fault}: {} KiB", node.resident_memory_kb());
         node.terminate();
         assert!(node.wait_for_exit().success());
-        assert!(!node.log().contains("congested"), "{kind}: endpoints were blamed");
+        assert!(!node.log().contains("congested"), "{fault}: an endpoint became congested");
     }
 }
 
 #[test]
 fn a_malformed_response_closes_no_other_connection() {
+    // Three concurrent requests open three connections. The fourth request reuses one of them, and its response is
+    // malformed.
     let record = RequestRecord::default();
     let addresses = start_endpoints(1, &record, |n, _| {
         std::thread::sleep(Duration::from_millis(100));
@@ -67,54 +72,66 @@
     let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(node.address)).collect();
     clients.iter_mut().for_each(|c| assert!(c.send(&request("bid", 900))));
     clients.iter_mut().for_each(|c| assert_eq!(c.read_response().unwrap().status(), 200));
-    let opened = record.connections_opened.load(Ordering::SeqCst);
+    let opened_before = record.connections_opened.load(Ordering::SeqCst);
     wait_until_connection_is_reusable();
     assert_eq!(send_request(node.address, &request("bid", 900)).status(), 502);
-    wait_for("the malformed connection closes", || record.connections_closed.load(Ordering::SeqCst) >= 1);
+    wait_for("the connection with the malformed response closes", || {
+        record.connections_closed.load(Ordering::SeqCst) >= 1
+    });
     assert_eq!(record.connections_closed.load(Ordering::SeqCst), 1);
     assert_eq!(send_request(node.address, &request("bid", 900)).status(), 200);
-    assert_eq!(record.connections_opened.load(Ordering::SeqCst), opened, "a new connection");
+    assert_eq!(
+        record.connections_opened.load(Ordering::SeqCst),
+        opened_before,
+        "a new connection was opened"
+    );
 }
 
 #[test]
-fn bytes_after_a_response_answer_no_request() {
-    let right = |n: usize| format!("answer {n}").into_bytes();
-    let surplus: [Vec<u8>; 3] =
+fn bytes_after_a_response_are_not_taken_for_the_next_response() {
+    let expected_body = |n: usize| format!("answer {n}").into_bytes();
+    let surplus_bytes: [Vec<u8>; 3] =
         [response("200 OK", "", b"answer of another"), b"\0\x01 noise".to_vec(), b"\r\n".to_vec()];
-    for (later, extra) in surplus.iter().flat_map(|s| [(false, s.clone()), (true, s.clone())]) {
+    for (is_delayed, surplus) in surplus_bytes.iter().flat_map(|s| [(false, s.clone()), (true, s.clone())])
+    {
         let record = RequestRecord::default();
         let addresses = start_endpoints(1, &record, move |n, _| {
-            let good = response("200 OK", "", &right(n));
-            if later {
-                ScriptedResponse::SendInTwoParts(good, Duration::from_millis(2), extra.clone())
+            let valid_response = response("200 OK", "", &expected_body(n));
+            if is_delayed {
+                ScriptedResponse::SendInTwoParts(valid_response, Duration::from_millis(2), surplus.clone())
             } else {
-                ScriptedResponse::Send([good, extra.clone()].concat())
+                ScriptedResponse::Send([valid_response, surplus.clone()].concat())
             }
         });
         let discovery = DiscoveryStub::start(all_up(&addresses));
         let node = Node::start(discovery.address, |_| {});
         let mut client = Client::connect(node.address);
         for n in 0..20 {
-            let answer = client.send_and_receive(&request("bid", 900));
-            // A connection is used again 10 ms after an answer: a machine that is busy for so long shows nothing.
+            let response = client.send_and_receive(&request("bid", 900));
+            // The node reuses a connection from 10 ms after a response on. If a busy machine has delayed the surplus
+            // bytes for so long, they may arrive after the next request, and look like the beginning of its response.
             if record.longest_pause_ms.load(Ordering::SeqCst) >= 10 {
                 break;
             }
-            assert_eq!((answer.status(), answer.body), (200, right(n)), "later: {later}");
+            assert_eq!(
+                (response.status(), response.body),
+                (200, expected_body(n)),
+                "delayed: {is_delayed}"
+            );
         }
     }
 }
 
 #[test]
-fn interim_responses_and_malformed_load_reports_do_no_harm() {
+fn interim_responses_and_malformed_load_reports_do_not_affect_the_response() {
     let record = RequestRecord::default();
-    let ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
+    let interim_responses = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
     let reports =
         ["", "TEXT", "inflight", "TEXT inflight=-7, util=1e999, queue=NaN", "BIN \u{ff}", "a=b=c,,=;"];
     let addresses = start_endpoints(2, &record, move |n, _| {
         let report = format!("Endpoint-Load-Metrics: {}\r\n", reports[n % reports.len()]);
-        let good = response("200 OK", &report, b"good");
-        ScriptedResponse::Send([ahead.as_bytes(), &good].concat())
+        let final_response = response("200 OK", &report, b"good");
+        ScriptedResponse::Send([interim_responses.as_bytes(), &final_response].concat())
     });
     let discovery = DiscoveryStub::start(all_up(&addresses));
     for via in ["none", "answers"] {
@@ -124,8 +141,8 @@
         });
         let mut client = Client::connect(node.address);
         for n in 0..3 * reports.len() {
-            let answer = client.send_and_receive(&request("bid", 900));
-            assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]), "{via}, request {n}");
+            let response = client.send_and_receive(&request("bid", 900));
+            assert_eq!((response.status(), &response.body[..]), (200, &b"good"[..]), "{via}, request {n}");
         }
     }
 }
