--- a/tests/node_hostile_clients.rs
+++ b/tests/node_hostile_clients.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn clients_with_silent_or_incomplete_requests_are_disconnected_while_others_are_served() {
+fn silent_clients_and_incomplete_requests_are_ended_while_others_are_served() {
     let record = RequestRecord::default();
     let addresses = start_endpoints(2, &record, |_, _| ok(b"x"));
     let discovery = DiscoveryStub::start(all_up(&addresses));
@@ -138,7 +138,7 @@
     for round in 0..6 {
         for n in 0..100 {
             let mut client = Client::connect(node.address);
-            // A third of the clients sends nothing, a third an incomplete request, and a third no valid HTTP.
+            // A third of the clients sends nothing, a third an incomplete request, and a third bytes that are not HTTP.
             client.send([&b""[..], b"POST /api HTTP/1.1\r\nX-", b"\0\0\r\n\r\n"][n % 3]);
             hostile_clients.push(client);
         }
@@ -147,8 +147,8 @@
         assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200, "round {round}");
         assert!(node.descriptor_count() <= 256, "{} descriptors", node.descriptor_count());
         wait_until_connection_is_reusable();
-        // When descriptors are scarce, the node closes connections of hostile clients, not its connections to endpoints,
-        // so it never has to open the latter again.
+        // When descriptors are scarce, the node closes connections of hostile clients, not connections to endpoints, so
+        // it never has to open the latter again.
         assert!(record.connections_opened.load(Ordering::SeqCst) <= 4, "{:?}", record.connections_opened);
     }
     hostile_clients.iter_mut().for_each(assert_connection_ends);
--- a/tests/node_races.rs
+++ b/tests/node_races.rs
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_request_in_flight_at_sighup_and_sigterm_in_one_turn_is_answered() {
+fn a_request_in_flight_is_answered_if_sighup_and_sigterm_arrive_together() {
     let gate = Arc::new(Gate::default());
     let script_gate = gate.clone();
     let (mut node, record, discovery) = start_node_with_endpoints(1, move |_, _| {
@@ -293,6 +293,7 @@
     // One endpoint reads the request and closes the connection, so the request may have run. The connection to the
     // other endpoint is established only after the deduplication window.
     let (listener, slow_to_connect) = listener_with_backlog_of_one();
+    // Fills the accept queue, so that handshakes with this endpoint do not complete.
     let filler = Client::connect(slow_to_connect);
     let record = RequestRecord::default();
     let closing = start_endpoint(&record, |_, _| ScriptedResponse::SendAndClose(Vec::new()));
--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -46,7 +46,9 @@
         start_endpoints(
             3,
             &record,
-            move |n, _| if n == 0 { first_response.clone() } else { ok(b"second") },
+            move |n, _| {
+                if n == 0 { first_response.clone() } else { ok(b"second") }
+            },
         );
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |_| {});
@@ -102,7 +104,7 @@
 }
 
 #[test]
-fn an_attempt_that_never_ran_is_repeated_for_every_class() {
+fn a_request_that_never_ran_is_repeated_in_every_class() {
     for status in ["503 Service Unavailable", "504 Gateway Timeout"] {
         for class in ["page", "bid", "pay"] {
             let first_response = ScriptedResponse::Send(response(status, "X-Never-Ran: 1\r\n", b""));
@@ -317,7 +319,8 @@
     });
     let discovery = DiscoveryStub::start(all_up(&addresses));
     let node = Node::start(discovery.address, |c| {
-        // The pause before the trial of a congested endpoint depends on the longest objective.
+        // The pause before the trial of a congested endpoint is at least the longest objective, so a short objective
+        // makes the test shorter.
         for class in c["settings"]["classes"].as_array_mut().unwrap() {
             class["objectiveMs"] = 300.into();
         }
--- a/tests/node_streaming.rs
+++ b/tests/node_streaming.rs
@@ -52,8 +52,8 @@
     Node::start(discovery.address, |c| c["limits"]["memory_mb"] = 48.into())
 }
 
-/// Sends a request of class `page` on a new connection. Returns the head of the response in lower case, and a reader of
-/// its body.
+/// Sends a request of class `page` on a new connection, and reads the head of the response. Returns a reader of the
+/// body, and the head in lower case.
 fn request_page(node: &Node) -> (BufReader<TcpStream>, String) {
     let mut client = TcpStream::connect(node.address).unwrap();
     client.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
@@ -178,6 +178,7 @@
         let mut bytes = Vec::new();
         let read_result = client.read_to_end(&mut bytes);
         let beginning = String::from_utf8_lossy(&bytes[..200.min(bytes.len())]).to_ascii_lowercase();
+        // An HTTP/1.0 client receives no chunks, so only a reset shows it that the body is incomplete.
         let lacks_announced_end = beginning.contains("content-length: 600000")
             || beginning.contains("chunked") && !bytes.ends_with(b"0\r\n\r\n");
         assert!(
