--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -46,7 +46,8 @@
     pub admin_listen: Option<SocketAddr>,
     /// The address at which the node receives datagrams from its peers. `None` if it exchanges none.
     pub peer_listen: Option<SocketAddr>,
-    /// The addresses of all nodes of the tier, this one included, in the order of their node index.
+    /// The addresses of all nodes of the tier, this one included, in the order of their node index. Empty if
+    /// the file has none.
     pub peers: Vec<SocketAddr>,
     /// An address whose datagrams reach every node of the tier. If it is `None`, the node sends one datagram
     /// to each peer instead.
@@ -80,7 +81,7 @@
     Invalid {
         /// The key, with its dotted path or its index in an array.
         key: String,
-        /// The expected type, with its article.
+        /// The expected type or types, with their articles.
         expected: &'static str,
         /// The value found.
         value: Value,
@@ -153,7 +154,7 @@
                 Ok(u64::from_str_radix(text, 16).unwrap_or_else(|_| stable_hash(text)))
             }
             None => Err(ConfigError::Missing("seed")),
-            Some(value) => Err(invalid("seed", "a string", value)),
+            Some(value) => Err(invalid("seed", "a whole number or a string", value)),
         }
     }
 
