--- a/src/node/frontend/client_connection.rs
+++ b/src/node/frontend/client_connection.rs
@@ -28,13 +28,13 @@
 pub(super) enum ConnectionState {
     /// The client has not sent a complete request head yet.
     AwaitingFirstRequest,
-    /// A request has no response yet, or its response is still being sent.
+    /// A request has no response yet, or its streamed response is still being sent.
     Serving,
     /// All requests have been answered, and no byte of another one has arrived.
     Idle,
     /// Part of the head of a request other than the first has arrived.
     ReadingRequest,
-    /// The last response has been sent. The node reads and discards the rest that the client sends.
+    /// The connection serves no further request. The node reads and discards the rest that the client sends.
     Closing,
 }
 
@@ -184,8 +184,8 @@
     }
 }
 
-/// Keeps a connection in the state [`ConnectionState::Serving`] until dropped, which must be at the end of
-/// the response.
+/// Keeps a connection in the state [`ConnectionState::Serving`] until dropped. The owner must drop it when a
+/// buffered response is complete, or at the end of a streamed response.
 pub(super) struct RequestInProgress(Rc<ClientConnection>);
 
 impl RequestInProgress {
