--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -1,8 +1,8 @@
 //! Serves a client's connection from its accept to its close.
 //!
-//! One task per connection runs hyper's HTTP/1 server, checks the timeouts, and reacts to requests to close
-//! the connection. Whichever ends the connection gives a [`CloseReason`], and [`Frontend::close`] closes the
-//! socket in the way that the reason calls for.
+//! One task per connection runs hyper's HTTP/1 server, checks the timeouts, and handles the frontend's
+//! requests to close the connection. Each of these can end the connection, for a [`CloseReason`] that
+//! determines how [`Frontend::close`] closes the socket.
 
 use super::Frontend;
 use super::client_connection::{
@@ -26,8 +26,8 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// The minimum time between two checks of a connection's timeouts. While a request is in progress, the time
-/// at which its head had to be complete soon lies in the past, and the checks follow at this interval.
+/// The minimum time between two checks of a connection's timeouts. The checks follow at this interval when
+/// the deadline of the head has passed but the connection stays open, as with a request in progress.
 const MIN_TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The maximum time of a lingering close, in which the node reads and discards the rest that the client
 /// sends. Closing a socket with unread bytes resets the connection, and the client would lose a response in
@@ -124,8 +124,8 @@
         });
     }
 
-    /// Closes a connection. Every connection ends here, so that each close is counted once and no close
-    /// that leaves a request unanswered goes unnoticed.
+    /// Closes a connection. Every connection ends here, so that each close is counted once, and a close that
+    /// the node must not make while a request is in progress is recorded as a violation.
     async fn close(&self, client: &ClientConnection, reason: CloseReason) {
         self.driver.counters.count(CounterKind::Close, reason.name());
         if reason.requires_no_request() && client.requests_in_progress.get() > 0 {
@@ -184,7 +184,7 @@
     }
 
     /// Answers one request. The connection is in the state [`ConnectionState::Serving`] from this call until
-    /// the end of the response.
+    /// a buffered response is complete, or until the end of a streamed response.
     fn serve_request<'a>(
         &'a self,
         request: Request<Incoming>,
@@ -215,9 +215,9 @@
         let has_elapsed = client.head_timeout_elapsed();
         // If this task was polled late, there may be unread bytes that arrived in time. They are read before
         // one more check.
-        let needs_another_check = has_elapsed && !check.was_repeated && !client.socket.is_quiet();
-        check.was_repeated = needs_another_check;
-        if has_elapsed && !needs_another_check {
+        let needs_recheck = has_elapsed && !check.is_recheck && !client.socket.is_quiet();
+        check.is_recheck = needs_recheck;
+        if has_elapsed && !needs_recheck {
             if client.socket.head_begun_at().is_none() {
                 return Some(CloseReason::IdleTimeout);
             }
@@ -232,8 +232,8 @@
         None
     }
 
-    /// Returns the response to a request, and has it close the connection if the node stops, is drained, or
-    /// has too many keep-alive connections.
+    /// Returns the response to a request. The response closes the connection if the node stops, is drained,
+    /// or has too many keep-alive connections.
     async fn respond(
         &self,
         request: Request<Incoming>,
@@ -276,7 +276,7 @@
     /// Answers a request, unless the client disconnects first.
     ///
     /// hyper detects that a client has closed its connection only when nothing else is left to read, so it
-    /// would not detect it behind a pipelined request. This therefore asks the socket.
+    /// would not detect a close after a pipelined request. This function therefore asks the socket.
     async fn submit(
         &self,
         parsed: ParsedRequest,
@@ -300,13 +300,13 @@
 /// The schedule of the timeout checks of one connection.
 struct TimeoutCheck {
     next_at: Instant,
-    /// Whether the last check found a timeout elapsed, but called for one more check.
-    was_repeated: bool,
+    /// Whether the next check repeats one that found the head timeout elapsed but the socket not quiet.
+    is_recheck: bool,
 }
 
 impl TimeoutCheck {
     fn new() -> TimeoutCheck {
-        TimeoutCheck { next_at: Instant::now() + REQUEST_HEAD_TIMEOUT, was_repeated: false }
+        TimeoutCheck { next_at: Instant::now() + REQUEST_HEAD_TIMEOUT, is_recheck: false }
     }
 }
 
