--- a/src/node/frontend/eviction.rs
+++ b/src/node/frontend/eviction.rs
@@ -40,8 +40,8 @@
 }
 
 impl ClientConnection {
-    /// Whether the connection may be closed now: no request is in progress, none is probably about to
-    /// arrive, and the system has no unread bytes of one.
+    /// Whether the connection may be closed now: it is in the state [`ConnectionState::Closing`], or no
+    /// request is in progress, none is expected to arrive soon, and the system has no unread bytes of one.
     pub fn may_close(&self) -> bool {
         match self.state() {
             ConnectionState::Serving => false,
@@ -73,8 +73,9 @@
 }
 
 impl Frontend {
-    /// Asks for the close of one connection to free a descriptor. Connections that have carried no request go
-    /// before those that will probably carry another one, and among equals those that have been idle longest.
+    /// Asks for the close of one connection to free a descriptor. Closing connections come first, then those
+    /// that have carried no request, because the others will probably carry another one. Among equals, the
+    /// connection that has been idle longest comes first.
     ///
     /// A client that has just connected may be about to send a request, so its connection is not closed yet.
     /// If most connections have carried no request, only they and closing ones are eligible, even if the node
