--- a/src/node/frontend/mod.rs
+++ b/src/node/frontend/mod.rs
@@ -35,8 +35,8 @@
 
 /// The minimum time between two log lines on rejections.
 const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// If the number of clients that keep their connection alive exceeds the limit of sockets divided by this,
-/// the node closes each connection after its next response.
+/// If the number of clients that keep their connection alive exceeds the number of descriptor permits divided
+/// by this, the node closes each connection after its next response.
 const KEEP_ALIVE_DIVISOR: usize = 4;
 
 /// The part of the node that serves clients.
