--- a/src/node/frontend/readiness.rs
+++ b/src/node/frontend/readiness.rs
@@ -11,8 +11,8 @@
 use thiserror::Error;
 use tokio::task::spawn_local;
 
-/// A drained node closes no idle connections for this time, so that requests that are already on their way
-/// on them are answered.
+/// A drained node closes no idle connections for this time, so that requests already in flight on them are
+/// answered.
 const CLIENT_DRAIN_GRACE: Duration = Duration::from_millis(1000);
 /// The time between two checks for idle connections on a drained node.
 const CLIENT_DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
