--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -199,17 +199,17 @@
 
     /// Reads a complete body, or the first part of a body that is too long to be buffered. Memory is reserved
     /// for the bytes received, so that a client that announces a long body and sends nothing takes none from
-    /// others.
+    /// others. The minimum rate of the body counts from `started_at`.
     async fn collect(
         &self,
         mut body: Incoming,
         length: Option<u64>,
-        begun_at: Instant,
+        started_at: Instant,
     ) -> Result<CollectedBody, BodyReadError> {
         let mut buffered = BytesMut::new();
         let mut memory: Option<OwnedSemaphorePermit> = None;
-        let minimum_rate = MinimumRate::new(begun_at);
-        let mut last_data_at = begun_at;
+        let minimum_rate = MinimumRate::new(started_at);
+        let mut last_data_at = started_at;
         loop {
             let deadline = minimum_rate.deadline(buffered.len() as u64, last_data_at);
             let frame = tokio::time::timeout_at(deadline.into(), body.frame()).await;
@@ -261,7 +261,8 @@
 }
 
 /// Checks that the method, the body and the idempotency key of a request agree with the idempotency of its
-/// class. If they do not, one of them is a mistake, and to rely on either could execute a request twice.
+/// class. If they do not, one of them is a mistake, and relying on the wrong one could execute the request
+/// twice.
 fn check_idempotency(
     class: &RequestClass,
     head: &Parts,
