--- a/src/node/frontend/responses.rs
+++ b/src/node/frontend/responses.rs
@@ -41,9 +41,9 @@
 /// Returns the response that tells a client the final answer to its request.
 pub(super) fn from_answer(answer: Answer) -> ClientResponse {
     match answer {
-        Answer::Served(reply) => {
-            let mut response = Response::new(reply.body);
-            if let Some(content_type) = reply.content_type {
+        Answer::Served(upstream_response) => {
+            let mut response = Response::new(upstream_response.body);
+            if let Some(content_type) = upstream_response.content_type {
                 response.headers_mut().insert(CONTENT_TYPE, content_type);
             }
             response
