--- a/src/node/headers.rs
+++ b/src/node/headers.rs
@@ -20,8 +20,8 @@
 /// Request header, optional: `1` if the client has sent the same request before.
 pub const CLIENT_RETRY: HeaderName = HeaderName::from_static("x-second-try");
 /// Request header: the idempotency key, by which endpoints recognize and drop repeats of a request. It is
-/// required for classes that have a deduplication window, and not allowed for classes whose requests must
-/// not be executed more than once.
+/// required for classes that have a deduplication window, and not allowed for classes that are not
+/// idempotent.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Response header, optional: `1` if the endpoint rejected the request without executing it.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-never-ran");
