--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -1,5 +1,5 @@
-//! Starts the node: opens its sockets, creates its parts and connects them. After SIGTERM, ends them in the
-//! order in which every accepted request still gets a response.
+//! Starts the node: opens its sockets, creates its parts and connects them. After SIGTERM, stops them in an
+//! order that lets every accepted request get a response.
 //!
 //! Another process of the same node may run in parallel, if the platform holds the listening socket. The two
 //! share the limits of the configuration and hand over their state through [`Takeover`].
@@ -182,7 +182,7 @@
     }
 }
 
-/// Returns the longest deadline of all classes, limited for the shutdown.
+/// Returns the longest deadline of all classes, but at most [`MAX_SHUTDOWN_DEADLINE_MS`].
 fn longest_deadline(classes: &[RequestClass]) -> Duration {
     let longest_ms = classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
     clamped_duration(longest_ms, MAX_SHUTDOWN_DEADLINE_MS)
@@ -210,28 +210,30 @@
         let upstream = open_upstream(&settings, descriptors.clone(), max_buffer_bytes);
         let guard = InvariantGuard::new(&settings);
         let balancer = Balancer::new(config.settings, config.seed)?;
-        let (request_watch, watch_requests) = mpsc::unbounded_channel();
-        let driver = Driver::new(balancer, guard, upstream.clone(), sockets.peers.clone(), request_watch);
+        let (watch_request_sender, watch_requests) = mpsc::unbounded_channel();
+        let driver =
+            Driver::new(balancer, guard, upstream.clone(), sockets.peers.clone(), watch_request_sender);
         let names = Rc::new(config.names);
         driver.handle(DriverEvent::Start);
-        let version = Rc::new(Cell::new(apply_cached_list(&driver, &config.cached_endpoint_list, &names)));
-        let takeover = is_listener_shared.then(|| Takeover::new(version.clone()));
-        let is_behind = takeover.as_ref().is_some_and(|takeover| take_over(takeover, &driver));
-        let (discovery_address, address) = watch::channel(config.discovery);
+        let list_version = apply_cached_list(&driver, &config.cached_endpoint_list, &names);
+        let list_version = Rc::new(Cell::new(list_version));
+        let takeover = is_listener_shared.then(|| Takeover::new(list_version.clone()));
+        let is_list_outdated = takeover.as_ref().is_some_and(|takeover| take_over(takeover, &driver));
+        let (discovery_address_sender, discovery_address) = watch::channel(config.discovery);
         let watch = DiscoveryWatch::new(WatchSetup {
-            address,
+            address: discovery_address,
             mode: settings.discovery,
             names: names.clone(),
             descriptors: descriptors.clone(),
             watch_requests,
-            version,
-            is_list_outdated: is_behind,
+            version: list_version,
+            is_list_outdated,
             rng: fastrand::Rng::with_seed(!config.seed),
         });
         spawn_background_tasks(
             &driver,
             watch,
-            reload::run(hangup, discovery_address),
+            reload::run(hangup, discovery_address_sender),
             upstream,
             sockets.peers,
         );
@@ -267,7 +269,7 @@
         // Even if the accept loop has failed or has not ended in time, accepted requests must be answered.
         let _ = tokio::time::timeout_at(answer_deadline.into(), accept_task).await;
         frontend.wind_down(answer_deadline).await;
-        // A failure response is better than a connection that the end of the process cuts.
+        // A failure response is better for the client than a connection that breaks when the process ends.
         driver.fail_unanswered();
         frontend.wind_down(Instant::now() + SHUTDOWN_WRITE_TIME).await;
         driver.count_unanswered();
@@ -318,11 +320,11 @@
 
 /// Takes over the state of the previous process, and starts the task that keeps this process in step with
 /// another one that runs in parallel. The task runs as long as the node. Returns whether the previous process
-/// had a newer endpoint list.
+/// had a newer endpoint list than the cached one.
 fn take_over(takeover: &Rc<Takeover>, driver: &Rc<Driver>) -> bool {
-    let is_behind = takeover.take_over(driver);
+    let is_list_outdated = takeover.take_over(driver);
     spawn_local(takeover.clone().run(driver.clone()));
-    is_behind
+    is_list_outdated
 }
 
 /// Passes the messages of other nodes to the driver.
