--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -1,9 +1,9 @@
 //! Sends one attempt to an endpoint and determines its outcome.
 //!
 //! Whether a failed request may be sent again depends on whether the endpoint may have executed it. The
-//! outcome therefore states what an attempt proves: from the bytes that were written and read on the
-//! connection, from the part of the request's body that was sent, and from the status and headers of the
-//! response.
+//! outcome of an attempt therefore states whether that is possible. It is determined from the bytes that were
+//! written and read on the connection, from the part of the request's body that was sent, and from the
+//! status and headers of the response.
 
 use super::connection::{ExchangeError, ReceivedResponse, UpstreamConnection};
 use super::pool::{ConnectionRequest, PooledConnection, Upstream};
@@ -80,7 +80,7 @@
 pub enum AttemptEnd {
     /// The attempt is over. Holds the connection if it may be usable for another request.
     Complete(AttemptResult, Option<UpstreamConnection>),
-    /// A streamed response has begun. The receiver yields the end of the response, or an error if the
+    /// A streamed response has started. The receiver yields the end of the response, or an error if the
     /// client disconnects before that.
     Streaming(AttemptResult, oneshot::Receiver<StreamEnd>),
 }
@@ -104,7 +104,7 @@
 }
 
 impl Upstream {
-    /// Sends one attempt and waits for its end, or for the beginning of a streamed response.
+    /// Sends one attempt and waits for its end, or for the start of a streamed response.
     ///
     /// Calls `check_before_send` once a connection is available. If that returns an error, nothing is sent.
     pub async fn send_attempt(
@@ -126,7 +126,7 @@
         }
         let bytes_before = ByteCounts::of(&connection);
         let received = exchange_until_overdue(attempt, &mut connection).await;
-        // A missing response does not show whether the connection was intact, so it is not recorded.
+        // Without a response it is not known whether the connection was intact, so its use is not recorded.
         if let Some(received) = &received {
             let is_broken = matches!(received, Err(ExchangeError::Broken(_)));
             self.record_use(idle_for, is_broken && connection.socket.bytes_read() == bytes_before.read);
@@ -195,7 +195,7 @@
     } else if connection.socket.bytes_read() == bytes_before.read {
         AttemptOutcome::TimedOut
     } else {
-        // Part of a response came, so the endpoint is not unresponsive, as `TimedOut` would state.
+        // Part of a response came. `TimedOut` would state that the endpoint does not respond.
         AttemptOutcome::ErrorResponse
     }
 }
@@ -212,7 +212,7 @@
         // The client's side is at fault, and the endpoint has not received the complete request.
         return AttemptOutcome::NotSent;
     }
-    // No byte of the request left this node, or the last one did not: the request did not run.
+    // Either nothing of the request or not all of its body left this node, so the request did not run.
     if incomplete_body.is_some() || connection.socket.bytes_written() == bytes_before.written {
         return AttemptOutcome::ConnectFailed;
     }
@@ -228,11 +228,11 @@
     let ReceivedResponse { head, prefix, rest } = response;
     match rest {
         None => AttemptEnd::Complete(result_of(&head, ResponseBody::buffered(prefix)), Some(connection)),
-        Some(rest) => begin_stream(connection, &head, prefix, rest),
+        Some(rest) => start_stream(connection, &head, prefix, rest),
     }
 }
 
-fn begin_stream(connection: UpstreamConnection, head: &Parts, prefix: Bytes, rest: Incoming) -> AttemptEnd {
+fn start_stream(connection: UpstreamConnection, head: &Parts, prefix: Bytes, rest: Incoming) -> AttemptEnd {
     if head.status != StatusCode::OK {
         // Only the body of a response with status 200 goes to the client. Dropping the connection discards
         // the rest of this one.
