--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -24,8 +24,8 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// If no data of a response body arrives for this time while the body is buffered, the response counts as
-/// one that will never be complete.
+/// If no data of a response body arrives for this time while the body is being buffered, the node stops
+/// waiting and treats the response as malformed.
 const BUFFERED_BODY_STALL_TIMEOUT: Duration = Duration::from_millis(200);
 /// A response of unknown length is buffered for at most this time. After that, it is streamed to the
 /// client, since it may be a long one.
@@ -62,7 +62,7 @@
     pub head: Parts,
     /// The buffered first part of the body, which may be empty.
     pub prefix: Bytes,
-    /// The part of the body behind `prefix`. `None` if `prefix` is the complete body.
+    /// The part of the body after `prefix`. `None` if `prefix` is the complete body.
     pub rest: Option<Incoming>,
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl UpstreamConnection {
-    /// Connects by `deadline`. The connection reads ahead up to `read_buffer_bytes` bytes.
+    /// Connects by `deadline`. `max_buffer_bytes` is the maximum size of the connection's buffer.
     ///
     /// # Errors
     /// Returns an error if the connection is refused or is not established in time, or if this machine
@@ -95,11 +95,11 @@
         address: SocketAddr,
         deadline: Instant,
         permit: DescriptorPermit,
-        read_buffer_bytes: usize,
+        max_buffer_bytes: usize,
     ) -> Result<UpstreamConnection, ConnectError> {
         let socket = Socket::new(connect::connect(address, deadline).await?, permit);
         let io = TokioIo::new(socket.clone());
-        let handshake = http1::Builder::new().max_buf_size(read_buffer_bytes).handshake(io).await;
+        let handshake = http1::Builder::new().max_buf_size(max_buffer_bytes).handshake(io).await;
         let (sender, connection) =
             handshake.map_err(|error| ConnectError::Remote(io::Error::other(error)))?;
         Ok(UpstreamConnection { sender, connection: Some(Box::pin(connection)), socket })
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -61,20 +61,20 @@
     /// lower.
     idle_timeout: Duration,
     idle_ages: RefCell<IdleAgeStatistics>,
-    /// Read buffer of each connection, in bytes.
-    read_buffer_bytes: usize,
+    /// The maximum size of a connection's buffer, in bytes.
+    max_buffer_bytes: usize,
 }
 
 impl Upstream {
-    /// Creates an empty pool. `idle_timeout_ms` is the time after which endpoints close idle connections;
-    /// each connection reads ahead up to `read_buffer_bytes` bytes.
+    /// Creates an empty pool. `idle_timeout_ms` is the time after which endpoints close idle connections.
+    /// `max_buffer_bytes` is the maximum size of a connection's buffer.
     ///
     /// If descriptors run out, `descriptors` closes idle connections of the pool to free some.
     pub fn new(
         descriptors: Rc<Descriptors>,
         connect_timeout_ms: f64,
         idle_timeout_ms: f64,
-        read_buffer_bytes: usize,
+        max_buffer_bytes: usize,
     ) -> Rc<Upstream> {
         let upstream = Rc::new(Upstream {
             idle: RefCell::default(),
@@ -82,7 +82,7 @@
             connect_timeout: clamped_duration(connect_timeout_ms, MAX_TIMEOUT_MS),
             idle_timeout: clamped_duration(idle_timeout_ms * IDLE_TIMEOUT_FRACTION, MAX_TIMEOUT_MS),
             idle_ages: RefCell::new(IdleAgeStatistics::new()),
-            read_buffer_bytes,
+            max_buffer_bytes,
         });
         let weak = Rc::downgrade(&upstream);
         let reclaim = move || weak.upgrade().is_some_and(|upstream| upstream.close_longest_idle());
@@ -134,7 +134,8 @@
         });
     }
 
-    /// Takes the most recently used reusable connection to an endpoint out of the pool.
+    /// Takes the most recently used reusable connection to an endpoint out of the pool. Returns `None` if the
+    /// pool has none.
     fn take_idle(&self, endpoint: EndpointId) -> Option<IdleConnection> {
         let idle_limit = self.idle_limit();
         let mut idle = self.idle.borrow_mut();
@@ -175,7 +176,7 @@
         let permit = tokio::time::timeout(time_left(), self.descriptors.take()).await;
         let permit = permit.map_err(|_| AttemptOutcome::NotSent)?;
         let connect_by = Instant::now() + time_left();
-        match UpstreamConnection::open(address, connect_by, permit, self.read_buffer_bytes).await {
+        match UpstreamConnection::open(address, connect_by, permit, self.max_buffer_bytes).await {
             Ok(connection) => Ok(PooledConnection { connection, idle_for: None }),
             Err(ConnectError::Local(_)) => Err(AttemptOutcome::NotSent),
             Err(ConnectError::TimedOut) if Instant::now() >= send_by => Err(AttemptOutcome::NotSent),
