--- a/src/node/upstream/idle_age.rs
+++ b/src/node/upstream/idle_age.rs
@@ -107,10 +107,10 @@
             };
             younger.add(*counts);
             let exceeds_share = |counts: &RequestCounts| counts.broken > counts.requests * max_share;
-            let is_over_limit = exceeds_share(counts)
+            let has_too_many_broken = exceeds_share(counts)
                 && exceeds_share(&class_and_older)
                 && class_and_older.broken >= MIN_BROKEN;
-            (is_over_limit && age_class > 0).then(|| IdleAgeStatistics::min_age(age_class))
+            (has_too_many_broken && age_class > 0).then(|| IdleAgeStatistics::min_age(age_class))
         })
     }
 }
