--- a/src/node/upstream/request_body.rs
+++ b/src/node/upstream/request_body.rs
@@ -142,7 +142,7 @@
 pub struct StreamedRequestBody {
     /// The first part of the body, which stays in memory.
     prefix: Bytes,
-    /// The part behind the prefix. Its bytes are not kept once they have been forwarded.
+    /// The part after the prefix. Its bytes are not kept once they have been forwarded.
     rest: RefCell<Incoming>,
     /// The announced length of the complete body. `None` if the body is sent in chunks.
     length: Option<u64>,
@@ -223,7 +223,7 @@
         std::future::pending().await
     }
 
-    /// Polls the next data behind the prefix. Yields `None` at the end of the body.
+    /// Polls the next data after the prefix. Yields `None` at the end of the body.
     fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         self.has_read_rest.set(true);
         loop {
--- a/src/node/upstream/response_body.rs
+++ b/src/node/upstream/response_body.rs
@@ -37,7 +37,7 @@
 pub struct StreamedResponseBody {
     /// The buffered first part of the body. `None` if it is empty or has been forwarded.
     prefix: Option<Bytes>,
-    /// The part behind the prefix.
+    /// The part after the prefix.
     rest: Incoming,
     /// The announced length of the complete body. `None` if the endpoint does not announce it.
     length: Option<u64>,
@@ -95,7 +95,7 @@
         self.report_end(AttemptOutcome::Answered);
     }
 
-    /// Polls the next data behind the prefix. Yields `None` at the end of the body.
+    /// Polls the next data after the prefix. Yields `None` at the end of the body.
     fn poll_rest(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             let mut frame = Pin::new(&mut self.rest).poll_frame(cx);
