--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -114,8 +114,8 @@
 }
 
 impl ConfigSource<'_> {
-    /// Reads an optional string from the environment variable, or from the file if the variable is `None` or
-    /// not set.
+    /// Reads an optional string from the environment variable, or from the file if `variable` is `None` or
+    /// the environment variable is not set.
     fn string(&self, key: &str, variable: Option<&str>) -> Result<Option<String>, ConfigError> {
         if let Some(value) = variable.and_then(self.environment) {
             return Ok(Some(value));
