--- a/src/node/frontend/client_connection.rs
+++ b/src/node/frontend/client_connection.rs
@@ -131,8 +131,8 @@
         self.idle_since.get().elapsed()
     }
 
-    /// Returns the time since this was first called for the request head that is being read. The caller
-    /// must have found the connection in the state [`ConnectionState::ReadingRequest`].
+    /// Returns the time since this method was first called for the request head that is being read. The
+    /// caller must have found the connection in the state [`ConnectionState::ReadingRequest`].
     pub fn partial_request_seen_for(&self) -> Duration {
         let seen_at = self.partial_request_seen_at.get().unwrap_or_else(Instant::now);
         self.partial_request_seen_at.set(Some(seen_at));
@@ -172,9 +172,9 @@
     /// Returns whether a chunked request also has a Content-Length header, which may be an attempt at
     /// request smuggling.
     ///
-    /// hyper removes the Content-Length header of a chunked request. So this compares the number of such
-    /// header lines received on the connection with the number that hyper has reported, and must be called
-    /// exactly once for each request.
+    /// hyper removes the Content-Length header of a chunked request. This method therefore compares the
+    /// number of such header lines received on the connection with the number that hyper has reported. It
+    /// must be called exactly once for each request.
     pub fn has_removed_content_length(&self, request: &Request<Incoming>) -> bool {
         let has_content_length = request.headers().contains_key(CONTENT_LENGTH);
         self.reported_content_lengths
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -86,8 +86,8 @@
     }
 }
 
-/// An entry in the table of clients. Dropping it removes the entry, so that no end of the connection's task
-/// can leave one behind.
+/// An entry in the table of clients. Dropping this value removes the entry, so that the entry is removed
+/// however the connection's task ends.
 struct RegisteredClient {
     frontend: Rc<Frontend>,
     number: u64,
--- a/src/node/frontend/readiness.rs
+++ b/src/node/frontend/readiness.rs
@@ -39,7 +39,8 @@
     }
 }
 
-/// A `drain` or `resume` command that came after the process was told to stop, and has no effect.
+/// A `drain` or `resume` command that came after the process was told to stop. The process stops regardless
+/// of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("this process has been told to stop")]
 pub struct Stopping;
--- a/src/node/frontend/request_reader.rs
+++ b/src/node/frontend/request_reader.rs
@@ -183,7 +183,8 @@
             return Err(RequestRejection::malformed("a request that is safe to repeat has no body\n"));
         }
         // The timeout counts from the last byte of the request, or from its arrival in the accept queue. The
-        // last byte of a streamed body arrives later, and the driver then postpones the expiry accordingly.
+        // last byte of a streamed body arrives later, and the driver then postpones the deadline and the
+        // expiry accordingly.
         let arrived_at = arrival.queued_since.unwrap_or_else(Instant::now);
         // The id is reserved only now, so that a client that withholds its body does not occupy it.
         let trace_id_guard = self.trace_ids.reserve(trace_id);
--- a/src/node/frontend/shutdown.rs
+++ b/src/node/frontend/shutdown.rs
@@ -18,7 +18,7 @@
 /// The node accepts connections for at least this time after SIGTERM. Clients open new connections for up to
 /// 0.4 s after it; the rest is a margin.
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(700);
-/// After that, the node stops accepting once no connection has arrived for this time.
+/// After [`MIN_ACCEPT_TIME`], the node stops accepting once no connection has arrived for this time.
 const ACCEPT_QUIET_TIME: Duration = Duration::from_millis(150);
 /// The node accepts connections for at most this time after SIGTERM, because SIGKILL could come before
 /// requests on later connections are answered.
