--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -46,7 +46,7 @@
 /// The maximum size of a connection's buffer, in bytes. No buffered body is longer, so more would be of no
 /// use.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
-/// The time between two sweeps of idle connections to endpoints and observations of the wall clock.
+/// The interval at which the node sweeps idle connections to endpoints and observes the wall clock.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// The upper bound of the longest class deadline for the shutdown, in milliseconds. SIGKILL follows SIGTERM
 /// after the longest class deadline, at most this, plus 0.7 s.
@@ -54,7 +54,7 @@
 /// The time beyond the longest deadline for which the node waits for responses after SIGTERM. Then it fails
 /// the requests that are still open, because SIGKILL is near.
 const SHUTDOWN_ANSWER_TIME: Duration = Duration::from_millis(400);
-/// The time for which the node then waits until the responses to the failed requests are written.
+/// The time for which the shutdown waits until the responses to the requests that it has failed are written.
 const SHUTDOWN_WRITE_TIME: Duration = Duration::from_millis(100);
 
 /// A failure to start the node.
