--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -188,7 +188,7 @@
 ) -> AttemptOutcome {
     if attempt.proxied.incomplete_body().is_some() {
         // An endpoint executes nothing before it has received the last byte, so the request did not run.
-        // `NotSent` blames neither the client nor the endpoint for the delay.
+        // With `NotSent`, the delay counts against neither the client nor the endpoint.
         AttemptOutcome::NotSent
     } else if connection.socket.bytes_written() == bytes_before.written {
         AttemptOutcome::ConnectFailed
--- a/src/node/upstream/idle_age.rs
+++ b/src/node/upstream/idle_age.rs
@@ -14,7 +14,7 @@
 
 use std::time::{Duration, Instant};
 
-/// Number of age classes. Class 0 holds new connections. Class 1 begins at age 0; from
+/// The number of age classes. Class 0 holds new connections. Class 1 begins at age 0; from
 /// [`MIN_DISTINGUISHED_AGE_MS`] on, each doubling of the age spans two classes. The last class has no upper
 /// bound.
 const AGE_CLASSES: usize = 24;
@@ -27,7 +27,8 @@
 /// From the age limit on, the share of broken connections is higher than this multiple of the share among
 /// younger connections, plus [`BROKEN_SHARE_MARGIN`].
 const BROKEN_SHARE_FACTOR: f64 = 2.0;
-/// Margin that is added to the multiple of the share of broken connections, from 0 to 1.
+/// The margin that is added to [`BROKEN_SHARE_FACTOR`] times the share of broken connections among younger
+/// connections. It is a share, from 0 to 1.
 const BROKEN_SHARE_MARGIN: f64 = 0.1;
 
 /// Decayed counts of the requests on connections of some ages.
--- a/src/node/upstream/pool.rs
+++ b/src/node/upstream/pool.rs
@@ -24,7 +24,7 @@
 /// A connection is reused only after it has been idle for this time without receiving anything. Surplus
 /// bytes right after a response would otherwise be taken for the response to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
-/// Upper bound for the timeouts in the settings, in milliseconds (one day).
+/// The upper bound for the timeouts in the settings, in milliseconds (one day).
 const MAX_TIMEOUT_MS: f64 = 86_400_000.0;
 
 /// A connection without a request in progress.
--- a/src/node/upstream/request_body.rs
+++ b/src/node/upstream/request_body.rs
@@ -19,10 +19,10 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 
-/// Minimum rate of a request's body, in bytes per second. The slowest legitimate clients send 64 kB per
+/// The minimum rate of a request's body, in bytes per second. The slowest legitimate clients send 64 kB per
 /// second.
 const MIN_BYTES_PER_SECOND: f64 = 48_000.0;
-/// Grace period on top of the time that [`MIN_BYTES_PER_SECOND`] allows, and at the same time the longest
+/// The grace period on top of the time that [`MIN_BYTES_PER_SECOND`] allows, and at the same time the longest
 /// pause between two chunks of a body.
 const RATE_GRACE: Duration = Duration::from_secs(2);
 
@@ -68,7 +68,7 @@
         self.streamed_body().is_none_or(|body| !body.has_read_rest.get() && !body.has_failed.get())
     }
 
-    /// Waits until the last byte of a streamed body has been forwarded, and returns the time of that.
+    /// Waits until the last byte of a streamed body has been forwarded, and returns that time.
     /// Returns `None` at once for a buffered body.
     pub async fn wait_until_body_complete(&self) -> Option<Instant> {
         match self.streamed_body() {
@@ -199,7 +199,7 @@
         self.completed.notify_waiters();
     }
 
-    /// Waits until the last byte has been forwarded, and returns the time of that.
+    /// Waits until the last byte has been forwarded, and returns that time.
     async fn wait_until_complete(&self) -> Instant {
         loop {
             if let Some(at) = self.completed_at.get() {
