--- a/src/node/frontend/client_connection.rs
+++ b/src/node/frontend/client_connection.rs
@@ -28,13 +28,13 @@
 pub(super) enum ConnectionState {
     /// The client has not sent a complete request head yet.
     AwaitingFirstRequest,
-    /// A request has no response yet, or its response is still being sent.
+    /// A request has no response yet, or its streamed response is still being sent.
     Serving,
     /// All requests have been answered, and no byte of another one has arrived.
     Idle,
     /// Part of the head of a request other than the first has arrived.
     ReadingRequest,
-    /// The last response has been sent. The node reads and discards the rest that the client sends.
+    /// The connection serves no further request. The node reads and discards the rest that the client sends.
     Closing,
 }
 
@@ -131,8 +131,8 @@
         self.idle_since.get().elapsed()
     }
 
-    /// Returns the time since this was first called for the request head that is being read. The caller
-    /// must have found the connection in the state [`ConnectionState::ReadingRequest`].
+    /// Returns the time since this method was first called for the request head that is being read. The
+    /// caller must have found the connection in the state [`ConnectionState::ReadingRequest`].
     pub fn partial_request_seen_for(&self) -> Duration {
         let seen_at = self.partial_request_seen_at.get().unwrap_or_else(Instant::now);
         self.partial_request_seen_at.set(Some(seen_at));
@@ -172,9 +172,9 @@
     /// Returns whether a chunked request also has a Content-Length header, which may be an attempt at
     /// request smuggling.
     ///
-    /// hyper removes the Content-Length header of a chunked request. So this compares the number of such
-    /// header lines received on the connection with the number that hyper has reported, and must be called
-    /// exactly once for each request.
+    /// hyper removes the Content-Length header of a chunked request. This method therefore compares the
+    /// number of such header lines received on the connection with the number that hyper has reported. It
+    /// must be called exactly once for each request.
     pub fn has_removed_content_length(&self, request: &Request<Incoming>) -> bool {
         let has_content_length = request.headers().contains_key(CONTENT_LENGTH);
         self.reported_content_lengths
@@ -184,8 +184,8 @@
     }
 }
 
-/// Keeps a connection in the state [`ConnectionState::Serving`] until dropped, which must be at the end of
-/// the response.
+/// Keeps a connection in the state [`ConnectionState::Serving`] until dropped. The owner must drop it when a
+/// buffered response is complete, or at the end of a streamed response.
 pub(super) struct RequestInProgress(Rc<ClientConnection>);
 
 impl RequestInProgress {
--- a/src/node/frontend/readiness.rs
+++ b/src/node/frontend/readiness.rs
@@ -11,8 +11,8 @@
 use thiserror::Error;
 use tokio::task::spawn_local;
 
-/// A drained node closes no idle connections for this time, so that requests that are already on their way
-/// on them are answered.
+/// A drained node closes no idle connections for this time, so that requests already in flight on them are
+/// answered.
 const CLIENT_DRAIN_GRACE: Duration = Duration::from_millis(1000);
 /// The time between two checks for idle connections on a drained node.
 const CLIENT_DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -39,7 +39,8 @@
     }
 }
 
-/// A `drain` or `resume` command that came after the process was told to stop, and has no effect.
+/// A `drain` or `resume` command that came after the process was told to stop. The process stops regardless
+/// of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("this process has been told to stop")]
 pub struct Stopping;
