--- a/src/node/admin/command.rs
+++ b/src/node/admin/command.rs
@@ -2,8 +2,8 @@
 
 use thiserror::Error;
 
-/// The longest command, in bytes with its line break.
-pub const MAX_LENGTH: usize = 256;
+/// Maximum length of a command, in bytes, including its line break.
+pub const MAX_COMMAND_BYTES: usize = 256;
 /// How many characters of an unknown command the error shows.
 const MAX_SHOWN_CHARACTERS: usize = 40;
 
@@ -31,8 +31,8 @@
     /// The line break did not come in time, or the connection ended before it.
     #[error("no complete line was received")]
     Unfinished,
-    /// The line is longer than [`MAX_LENGTH`].
-    #[error("the line is longer than {MAX_LENGTH} bytes")]
+    /// The line is longer than [`MAX_COMMAND_BYTES`].
+    #[error("the line is longer than {MAX_COMMAND_BYTES} bytes")]
     TooLong,
     /// The line is not UTF-8, or contains control characters other than white space.
     #[error("the line is not text")]
@@ -40,7 +40,7 @@
     /// The line contains no word.
     #[error("the line is empty")]
     Empty,
-    /// No command has this name; holds the first [`MAX_SHOWN_CHARACTERS`] of it.
+    /// No command has this name; holds its first [`MAX_SHOWN_CHARACTERS`] characters.
     #[error(
         "unknown command {0:?}; the commands are \
          ready, disable-server ID, enable-server ID, drain, resume and counters"
--- a/src/node/admin/server.rs
+++ b/src/node/admin/server.rs
@@ -4,7 +4,7 @@
 //! clients use all other descriptors, so a number of descriptors is reserved for them. If all of these are
 //! in use, the oldest connection that has not yet sent a complete command is closed.
 
-use super::command::{AdminCommand, CommandError, MAX_LENGTH};
+use super::command::{AdminCommand, CommandError, MAX_COMMAND_BYTES};
 use crate::driver::Driver;
 use crate::frontend::{DrainChange, Frontend, ResumeChange, Stopping};
 use crate::observability::log;
@@ -28,9 +28,9 @@
 /// Time in which a connection must send a complete command. After it, the connection gets an error and is
 /// closed.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time in which the answer must be taken. After the answer, the node also reads and discards what the
-/// operator still sends: closing a socket with unread input resets the connection, and the answer could be
-/// lost.
+/// Timeout for sending the answer and closing the connection. After the answer, the node reads and discards
+/// what the operator still sends: closing a socket with unread input resets the connection, and the answer
+/// could be lost.
 const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Why a command was not executed.
@@ -67,7 +67,8 @@
     next_connection_id: Cell<u64>,
 }
 
-/// One of the [`MAX_CONNECTIONS`] places. It is freed when dropped, however the connection's task ends.
+/// One of the [`MAX_CONNECTIONS`] slots. Dropping this value frees the slot, however the connection's task
+/// ends.
 struct ConnectionSlot {
     server: Rc<AdminServer>,
     connection_id: u64,
@@ -120,8 +121,8 @@
         if self.open_connections.get() >= MAX_CONNECTIONS
             && self.awaiting_command.borrow_mut().pop_first().is_none()
         {
-            // All connections are being answered, which is soon over. This one is closed; the operator can
-            // connect again.
+            // All open connections have sent their commands, and end soon. The new one is closed; the
+            // operator can connect again.
             return;
         }
         let connection_id = self.next_connection_id.get();
@@ -222,13 +223,13 @@
 /// Appends the first line that is received to `line`, without its line break. Discards what was received
 /// after it.
 async fn read_line(stream: &mut Socket, line: &mut Vec<u8>) -> Result<(), CommandError> {
-    let mut buffer = [0; MAX_LENGTH];
+    let mut buffer = [0; MAX_COMMAND_BYTES];
     loop {
         let read = AsyncReadExt::read(stream, &mut buffer).await.map_err(|_| CommandError::Unfinished)?;
         let piece = buffer.get(..read).filter(|piece| !piece.is_empty()).ok_or(CommandError::Unfinished)?;
         let end = piece.iter().position(|byte| *byte == b'\n');
         line.extend_from_slice(piece.get(..end.unwrap_or(read)).unwrap_or(piece));
-        if line.len() >= MAX_LENGTH {
+        if line.len() >= MAX_COMMAND_BYTES {
             return Err(CommandError::TooLong);
         }
         if end.is_some() {
@@ -241,7 +242,7 @@
 async fn write_answer(mut stream: Socket, answer: &str) -> std::io::Result<()> {
     stream.write_all(answer.as_bytes()).await?;
     stream.shutdown().await?;
-    let mut discarded = [0; MAX_LENGTH];
+    let mut discarded = [0; MAX_COMMAND_BYTES];
     while AsyncReadExt::read(&mut stream, &mut discarded).await? > 0 {}
     Ok(())
 }
