--- a/src/node/discovery/client.rs
+++ b/src/node/discovery/client.rs
@@ -29,8 +29,9 @@
 /// node is expected to know a change 2 s after the end of this wait, even if the watch missed the change.
 const POLL_WAIT: Duration = Duration::from_secs(60);
 /// Timeout of a response in poll mode, beyond the wait. The service may queue a call, and fails it after
-/// 2 s in the queue. With a longer timeout, the node would be expected to know a change that an
-/// unanswered call missed before the response to the next call arrives.
+/// 2 s in the queue. If a call gets no response, the node receives the changes that it missed with the
+/// response to the next call. With a longer timeout, that response could arrive after the node is expected
+/// to know the changes.
 const POLL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// Timeout of a connection attempt in poll mode.
 const POLL_CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
