--- a/src/node/discovery/watch.rs
+++ b/src/node/discovery/watch.rs
@@ -51,8 +51,8 @@
 /// A call that fails within this time was not queued at the service: discovery is down and cannot send a
 /// newer list.
 const IMMEDIATE_FAILURE_TIME: Duration = Duration::from_secs(1);
-/// Pause after a failed call in push mode, and after a call that does not lead to a watch that waits. The
-/// protocol requires that a watch continues within 200 ms.
+/// Pause after a failed call in push mode, after a restart of the version numbers, and after a watch that
+/// discovery ended at once without an update. The protocol requires that a watch continues within 200 ms.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 /// If a watch ends without an update within this time, discovery did not wait for one.
 const MIN_WATCH_TIME: Duration = Duration::from_millis(50);
@@ -123,7 +123,8 @@
 }
 
 impl DiscoveryWatch {
-    /// Creates a watch that has made no call. In push mode it starts by itself.
+    /// Creates a watch that has made no call. In push mode, or if the list is outdated, it does not wait
+    /// for the balancer to start it.
     pub fn new(setup: WatchSetup) -> DiscoveryWatch {
         let starts_at_once = setup.mode == DiscoveryMode::Push || setup.is_list_outdated;
         let address = *setup.address.borrow();
@@ -277,7 +278,7 @@
         if self.consecutive_failures.is_power_of_two() {
             let (failures, address) = (self.consecutive_failures, self.address);
             log::line(&format!(
-                "discovery: no answer to {failures} consecutive calls to {address}: {error}"
+                "discovery: no valid response to {failures} consecutive calls to {address}: {error}"
             ));
         }
         match self.choose_retry(error) {
@@ -323,6 +324,6 @@
     };
     tokio::time::sleep(timeout).await;
     if driver.mark_list_usable() {
-        log::line("discovery: no answer since the start; serving with the initial endpoint list");
+        log::line("discovery: no valid response since the start; serving with the initial endpoint list");
     }
 }
--- a/tests/node_syscall_faults.rs
+++ b/tests/node_syscall_faults.rs
@@ -59,7 +59,7 @@
     node.terminate();
     assert!(node.wait_for_exit().success());
     let log = node.log();
-    assert!(!log.contains("discovery: no answer"), "{log}");
+    assert!(!log.contains("discovery: no valid response"), "{log}");
 }
 
 /// An accept, a connect or a new socket may fail because this machine lacks a resource for the moment. If the node
