--- a/src/node/driver/attempt.rs
+++ b/src/node/driver/attempt.rs
@@ -22,7 +22,7 @@
 
 /// Upper bound of the times in [`AttemptParameters`], in milliseconds. The balancer may set an infinite
 /// time.
-const MAX_SPAN_MS: f64 = 1e9;
+const MAX_DURATION_MS: f64 = 1e9;
 
 /// The parameters of an attempt, from [`Action::SendAttempt`](wheelpath::policy::Action::SendAttempt).
 #[derive(Clone, Copy, Debug)]
@@ -73,7 +73,8 @@
 
 impl Driver {
     /// Starts an attempt in a task of its own. All attempts start here. An attempt that an invariant
-    /// forbids, or whose body cannot be sent again, is reported as not sent.
+    /// forbids, whose body cannot be sent again, or whose endpoint has no known address is reported as not
+    /// sent.
     pub(super) fn send_attempt(
         self: &Rc<Self>,
         state: &mut DriverState,
@@ -108,15 +109,15 @@
             endpoint,
             address,
             proxied: open_request.proxied.clone(),
-            deadline: started_at + clamped_duration(timeout_ms, MAX_SPAN_MS),
-            send_by: started_at + clamped_duration(begin_within_ms, MAX_SPAN_MS),
+            deadline: started_at + clamped_duration(timeout_ms, MAX_DURATION_MS),
+            send_by: started_at + clamped_duration(begin_within_ms, MAX_DURATION_MS),
             started_at,
         };
         spawn_local(run_attempt(attempt, reporter, cancellation));
     }
 
-    /// Returns a connection to the pool, unless its endpoint has left service or changed its address
-    /// since.
+    /// Returns the connection of an attempt to the pool, unless the endpoint has left service or changed
+    /// its address since the attempt started.
     fn return_connection_to_pool(
         &self,
         endpoint: EndpointId,
--- a/src/node/driver/endpoint_table.rs
+++ b/src/node/driver/endpoint_table.rs
@@ -89,12 +89,13 @@
         self.listed.contains(&id)
     }
 
-    /// Returns where an endpoint listens, or `None` if it is not in `active`.
+    /// Returns where an endpoint listens, or `None` if discovery does not report it as active.
     pub fn address(&self, id: EndpointId) -> Option<SocketAddr> {
         self.active.get(&id).map(|endpoint| endpoint.address)
     }
 
-    /// Returns the zone and the cell of an endpoint, or the default if it is not in `active`.
+    /// Returns the zone and the cell of an endpoint, or the default if discovery does not report it as
+    /// active.
     pub fn location(&self, id: EndpointId) -> Location {
         self.active.get(&id).map_or_else(Location::default, |endpoint| endpoint.location)
     }
