--- a/src/node/driver/event.rs
+++ b/src/node/driver/event.rs
@@ -1,7 +1,7 @@
 //! Defines the events that the sockets, timers and tasks of a node report to the driver.
 
 use super::endpoint_table::DiscoveredEndpoint;
-use super::pending_response::Responder;
+use super::pending_answer::Responder;
 use crate::observability::request_trace::RequestEnding;
 use crate::upstream::{AttemptResult, ProxiedRequest};
 use std::rc::Rc;
--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -11,17 +11,17 @@
 mod attempt;
 mod endpoint_table;
 mod event;
-mod pending_response;
+mod pending_answer;
 mod request_table;
 
 pub use endpoint_table::DiscoveredEndpoint;
 pub use event::DriverEvent;
-pub use pending_response::{Answer, PendingResponse};
+pub use pending_answer::{Answer, PendingAnswer};
 
 use crate::driver::attempt::AttemptParameters;
 use crate::driver::endpoint_table::EndpointTable;
 use crate::driver::event::AttemptReport;
-use crate::driver::pending_response::Responder;
+use crate::driver::pending_answer::Responder;
 use crate::driver::request_table::{OpenRequest, RequestTable};
 use crate::observability::counters::{CounterKind, Counters, Violation};
 use crate::observability::invariants::{AttemptTarget, InvariantGuard};
@@ -50,7 +50,7 @@
     endpoints: EndpointTable,
 }
 
-/// The owner of a node's balancer, which handles its events and executes its actions.
+/// The owner of a node's balancer, which passes events to the balancer and executes the returned actions.
 pub struct Driver {
     state: RefCell<DriverState>,
     /// Events that were reported while another event was handled.
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Submits a request to the balancer, and returns its pending response. The balancer must end the
+    /// Submits a request to the balancer, and returns its pending answer. The balancer must end the
     /// request by `deadline`. If it does not, the node fails the request at `expires_at`.
     pub fn submit(
         self: &Rc<Self>,
@@ -106,7 +106,7 @@
         proxied: ProxiedRequest,
         deadline: Instant,
         expires_at: Instant,
-    ) -> PendingResponse {
+    ) -> PendingAnswer {
         let id = RequestId(self.next_request_id.get());
         self.next_request_id.set(id.0 + 1);
         request.id = id;
@@ -116,7 +116,7 @@
         let submitted_at = Instant::now();
         let responder = Responder::new(responder);
         self.handle(DriverEvent::RequestArrived { request, proxied: proxied.clone(), responder });
-        PendingResponse::new(self.clone(), id, proxied, answer, submitted_at, expires_at)
+        PendingAnswer::new(self.clone(), id, proxied, answer, submitted_at, expires_at)
     }
 
     /// Returns the number of requests that have no answer yet, or have attempts in flight.
@@ -285,9 +285,9 @@
     /// Answers a request with a streamed response that has started.
     fn on_response_started(&mut self, report: AttemptReport) -> Option<Event> {
         let AttemptReport { id, attempt, endpoint, result, elapsed_ms } = report;
-        let reply = result.response?;
+        let response = result.response?;
         self.requests.get(id).filter(|request| request.awaits_answer())?;
-        self.requests.respond(id, Answer::Served(reply), RequestEnding::Served);
+        self.requests.respond(id, Answer::Served(response), RequestEnding::Served);
         Some(Event::ResponseStarted { id, attempt, endpoint, elapsed_ms })
     }
 
@@ -302,10 +302,10 @@
         }
         self.counters.count(CounterKind::Attempt, outcome.name());
         let awaits_answer = open_request.awaits_answer();
-        let reply = result.response.filter(|_| awaits_answer);
-        let request_finished = !awaits_answer || reply.is_some();
-        match reply {
-            Some(reply) => self.requests.respond(id, Answer::Served(reply), RequestEnding::Served),
+        let response = result.response.filter(|_| awaits_answer);
+        let request_finished = !awaits_answer || response.is_some();
+        match response {
+            Some(response) => self.requests.respond(id, Answer::Served(response), RequestEnding::Served),
             None => self.requests.remove_if_closed(id),
         }
         Some(Event::AttemptEnded { id, attempt, endpoint, outcome, request_finished, elapsed_ms, load })
--- a/src/node/driver/pending_answer.rs
+++ b/src/node/driver/pending_answer.rs
@@ -2,7 +2,7 @@
 //!
 //! Each request gets exactly one answer, even if the driver never sends one, and the driver must learn
 //! when the client stops waiting. A [`Responder`] can send one answer, and fails the request when it is
-//! dropped without one. A [`PendingResponse`] waits for the answer until the request expires, and tells
+//! dropped without one. A [`PendingAnswer`] waits for the answer until the request expires, and tells
 //! the driver when it is dropped.
 
 use super::{Driver, DriverEvent};
@@ -43,7 +43,7 @@
 
 /// The client's side of a pending answer. Dropping it reports to the driver that the client waits no
 /// longer, which has no effect once the request has its answer.
-pub struct PendingResponse {
+pub struct PendingAnswer {
     driver: Rc<Driver>,
     id: RequestId,
     proxied: Rc<ProxiedRequest>,
@@ -54,7 +54,7 @@
     has_expired: bool,
 }
 
-impl PendingResponse {
+impl PendingAnswer {
     pub(super) fn new(
         driver: Rc<Driver>,
         id: RequestId,
@@ -62,8 +62,8 @@
         answer: oneshot::Receiver<Answer>,
         submitted_at: Instant,
         expires_at: Instant,
-    ) -> PendingResponse {
-        PendingResponse { driver, id, proxied, answer, submitted_at, expires_at, has_expired: false }
+    ) -> PendingAnswer {
+        PendingAnswer { driver, id, proxied, answer, submitted_at, expires_at, has_expired: false }
     }
 
     /// Waits for the answer. Returns [`Answer::Failed`] when the request expires, even if attempts are in
@@ -87,7 +87,7 @@
     }
 }
 
-impl Drop for PendingResponse {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
         let ending = if self.has_expired { RequestEnding::Expired } else { RequestEnding::ClientLeft };
         self.driver.handle(DriverEvent::ClientDisconnected(self.id, ending));
--- a/src/node/driver/request_table.rs
+++ b/src/node/driver/request_table.rs
@@ -3,7 +3,7 @@
 //! A request stays in the table after its answer until its last attempt has ended, so that the outcomes
 //! of all its attempts reach the balancer, the counters and the trace.
 
-use super::pending_response::{Answer, Responder};
+use super::pending_answer::{Answer, Responder};
 use crate::observability::counters::{CounterKind, Counters};
 use crate::observability::invariants::{AttemptRecord, RequestFacts};
 use crate::observability::log;
