--- a/src/node/observability/counters.rs
+++ b/src/node/observability/counters.rs
@@ -28,7 +28,7 @@
 }
 
 impl CounterKind {
-    /// The first part of a counter's name, `KIND.REASON`.
+    /// Returns the first part of a counter's name, `KIND.REASON`.
     fn name(self) -> &'static str {
         match self {
             CounterKind::Answer => "answer",
@@ -65,7 +65,7 @@
 }
 
 impl Violation {
-    /// The reason in the counter's name, and the text in the log.
+    /// Returns the reason in the counter's name, which is also the text in the log.
     fn name(self) -> &'static str {
         match self {
             Violation::SendAfterEnd => "send-after-end",
@@ -87,9 +87,9 @@
 }
 
 impl Counters {
-    /// Increments the counter `KIND.REASON`, where `name` is the reason.
-    pub fn count(&self, kind: CounterKind, name: &'static str) {
-        *self.counts.borrow_mut().entry((kind, name)).or_default() += 1;
+    /// Increments the counter `KIND.REASON`.
+    pub fn count(&self, kind: CounterKind, reason: &'static str) {
+        *self.counts.borrow_mut().entry((kind, reason)).or_default() += 1;
     }
 
     /// Counts a violation and logs it. `trace_id` is the trace id of the request, or `?` if there is none;
@@ -99,15 +99,16 @@
         log::urgent(&format!("violation: {}: {trace_id}", violation.name()));
     }
 
-    /// All counters above 0 in one line, preceded by the total number of violations, which is always there.
+    /// Returns all counters above 0 in one line, preceded by the total number of violations, even if that
+    /// is 0.
     pub fn text(&self) -> String {
         let counts = self.counts.borrow();
         let violation_counts = counts.iter().filter(|((kind, _), _)| *kind == CounterKind::Violation);
         let violations: u64 = violation_counts.map(|(_, count)| count).sum();
         let mut text = format!("violations={violations}");
-        for ((kind, name), count) in counts.iter() {
+        for ((kind, reason), count) in counts.iter() {
             // Writing to a String cannot fail.
-            let _ = write!(text, " {}.{name}={count}", kind.name());
+            let _ = write!(text, " {}.{reason}={count}", kind.name());
         }
         text
     }
--- a/src/node/observability/invariants.rs
+++ b/src/node/observability/invariants.rs
@@ -7,8 +7,9 @@
 use super::counters::Violation;
 use wheelpath::policy::{AttemptOutcome, Idempotency, Location, RequestClass, Settings};
 
-/// Tolerance for deadlines and deduplication windows, in milliseconds. The balancer and this check do not
-/// read the clock at the same instant; the two readings are at most this far apart.
+/// Tolerance for deadlines and deduplication windows, in milliseconds. When a request arrives and when its
+/// streamed body is complete, the driver reads the clock once for this check and then for the balancer. The
+/// two readings are expected to be at most this far apart.
 const CLOCK_READ_SLACK_MS: f64 = 1.0;
 
 /// What the node has observed of one attempt.
@@ -23,7 +24,7 @@
 }
 
 impl AttemptRecord {
-    /// Whether it is certain that the endpoint did not execute the request.
+    /// Returns `true` if it is certain that the endpoint did not execute the request.
     fn was_not_executed(&self) -> bool {
         self.outcome.is_some_and(AttemptOutcome::proves_not_executed)
     }
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The idempotency of a class. An unknown class gets the strictest rule.
+    /// Returns the idempotency of a class. An unknown class gets the strictest rule.
     fn idempotency(&self, class: usize) -> Idempotency {
         self.classes.get(class).map_or(Idempotency::NotIdempotent, |class| class.idempotency)
     }
@@ -99,15 +100,15 @@
         }
     }
 
-    /// Whether the number of attempts, and of those in flight, allows one more.
+    /// Returns `true` if the number of attempts, and of those in flight, allows one more.
     fn is_within_limit(&self, attempts: &[AttemptRecord]) -> bool {
         let is_any_in_flight = attempts.iter().any(|attempt| attempt.outcome.is_none());
         attempts.len() < self.max_attempts && (self.hedging_allowed || !is_any_in_flight)
     }
 
-    /// Whether one more attempt cannot execute the request a second time, or a second execution does no
-    /// harm. With an idempotency key, that holds where the endpoint shares the key with the endpoint of the
-    /// first attempt that may have run, and only within the deduplication window.
+    /// Returns `true` if one more attempt cannot execute the request a second time, or if a second
+    /// execution does no harm. With an idempotency key, that holds where the endpoint shares the key with
+    /// the endpoint of the first attempt that may have run, and only within the deduplication window.
     fn may_repeat(&self, now_ms: f64, request: &RequestFacts<'_>, location: Location) -> bool {
         let Some(first) = request.attempts.iter().find(|attempt| !attempt.was_not_executed()) else {
             return true;
--- a/src/node/observability/log.rs
+++ b/src/node/observability/log.rs
@@ -16,7 +16,7 @@
 use std::os::unix::fs::{FileTypeExt, OpenOptionsExt};
 use std::time::{Duration, Instant};
 
-/// Limit of lines about the node per second. More lines than this repeat what the others say.
+/// Limit of lines about the node per second. Lines beyond it are expected to repeat earlier ones.
 const LINES_PER_SECOND: u32 = 20;
 /// Limit of request traces per second, unless `LB_TRACE` is `all`.
 const TRACES_PER_SECOND: u32 = 5;
@@ -27,13 +27,13 @@
 /// The longest line, in bytes with its line break. A pipe that is writable takes a write of this size
 /// (`PIPE_BUF`) as a whole.
 const MAX_LINE_BYTES: usize = 4096;
-/// A path through which the pipe behind standard error can be opened a second time.
-const STANDARD_ERROR: &str = "/proc/self/fd/2";
+/// The path through which the pipe behind standard error can be opened a second time.
+const STANDARD_ERROR_PATH: &str = "/proc/self/fd/2";
 
 /// Counts the lines of one kind in the current second.
 #[derive(Clone, Copy, Default)]
 struct LineBudget {
-    second_began_at: Option<Instant>,
+    second_started_at: Option<Instant>,
     /// Lines allowed in the current second.
     allowed: u32,
     /// Lines suppressed since the last one that was allowed.
@@ -41,13 +41,13 @@
 }
 
 impl LineBudget {
-    /// Asks for one more line. Returns how many lines were suppressed since the previous allowed one, or
-    /// `None` if the limit of `max_lines` per second is used up.
+    /// Takes one line from the budget of the current second. Returns how many lines were suppressed since
+    /// the previous allowed one, or `None` if the limit of `max_lines` per second is used up.
     fn take(cell: &'static std::thread::LocalKey<Cell<LineBudget>>, max_lines: u32) -> Option<u32> {
         let mut budget = cell.get();
         let now = Instant::now();
-        if budget.second_began_at.is_none_or(|at| now.duration_since(at) >= Duration::from_secs(1)) {
-            budget.second_began_at = Some(now);
+        if budget.second_started_at.is_none_or(|at| now.duration_since(at) >= Duration::from_secs(1)) {
+            budget.second_started_at = Some(now);
             budget.allowed = 0;
         }
         let is_allowed = budget.allowed < max_lines;
@@ -110,15 +110,15 @@
 
 impl Sink {
     fn open() -> Sink {
-        let is_pipe = std::fs::metadata(STANDARD_ERROR).is_ok_and(|found| found.file_type().is_fifo());
+        let is_pipe = std::fs::metadata(STANDARD_ERROR_PATH).is_ok_and(|found| found.file_type().is_fifo());
         let opened = is_pipe.then(|| {
             let mut options = File::options();
-            options.write(true).custom_flags(libc::O_NONBLOCK).open(STANDARD_ERROR).ok()
+            options.write(true).custom_flags(libc::O_NONBLOCK).open(STANDARD_ERROR_PATH).ok()
         });
         opened.flatten().map_or(Sink::Shared, Sink::Pipe)
     }
 
-    /// Writes a line if that is possible without waiting. Returns whether the line was written.
+    /// Writes a line if that is possible without waiting. Returns `true` if the line was written.
     fn write(&self, line: &[u8]) -> bool {
         match self {
             Sink::Pipe(pipe) => {
@@ -130,7 +130,7 @@
     }
 }
 
-/// Whether standard error can be written to without waiting.
+/// Returns `true` if standard error can be written to without waiting.
 fn is_writable() -> bool {
     let stderr = std::io::stderr();
     let mut polled = [PollFd::new(stderr.as_fd(), PollFlags::POLLOUT)];
@@ -139,7 +139,7 @@
         || polled[0].revents().is_none_or(|ready| ready.contains(PollFlags::POLLOUT))
 }
 
-/// Whether `LB_TRACE` asks for the traces of all requests. The variable is read once.
+/// Returns `true` if `LB_TRACE` asks for the traces of all requests. The variable is read once.
 pub fn traces_all_requests() -> bool {
     TRACES_ALL_REQUESTS
         .with(|all| *all.get_or_init(|| std::env::var(TRACE_VARIABLE).is_ok_and(|value| value == "all")))
--- a/src/node/observability/request_trace.rs
+++ b/src/node/observability/request_trace.rs
@@ -17,7 +17,7 @@
     Rejected(RejectionReason),
     /// The balancer failed the request.
     Failed(RejectionReason),
-    /// The node failed the request, because its time ran out before the balancer ended it.
+    /// The node failed the request, because it expired before the balancer ended it.
     Expired,
     /// The client disconnected, or no longer needs an answer.
     ClientLeft,
@@ -26,7 +26,7 @@
 }
 
 impl RequestEnding {
-    /// The name in logs and counters.
+    /// Returns the name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             RequestEnding::Served => "served",
@@ -56,7 +56,7 @@
 }
 
 impl WithheldReason {
-    /// The name in logs and counters.
+    /// Returns the name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             WithheldReason::RequestOver => "request-over",
@@ -99,7 +99,7 @@
         RequestTrace { id, arrived_at: Instant::now(), steps: Vec::new() }
     }
 
-    /// The trace id that the client gave; `?` if it gave none, or one that is not visible ASCII.
+    /// Returns the trace id that the client gave, or `?` if it gave none or one that is not visible ASCII.
     pub fn id(&self) -> &str {
         self.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("?")
     }
@@ -111,28 +111,28 @@
         }
     }
 
-    /// The balancer ordered an attempt.
+    /// Records that the balancer ordered an attempt.
     pub fn record_sent(&mut self, attempt: u32, endpoint: EndpointId) {
         self.record(TraceEvent::Sent { attempt, endpoint });
     }
 
-    /// An attempt that the balancer ordered did not begin.
+    /// Records that an attempt that the balancer ordered did not begin.
     pub fn record_withheld(&mut self, reason: WithheldReason) {
         self.record(TraceEvent::Withheld(reason));
     }
 
-    /// An attempt ended.
+    /// Records that an attempt ended.
     pub fn record_ended(&mut self, attempt: u32, outcome: AttemptOutcome) {
         self.record(TraceEvent::Ended { attempt, outcome });
     }
 
-    /// The request got its final answer, or ended without one.
+    /// Records that the request got its final answer, or ended without one.
     pub fn record_answered(&mut self, ending: RequestEnding) {
         self.record(TraceEvent::Answered(ending));
     }
 
-    /// Whether the request was served by its first attempt, and nothing else happened: the three steps are
-    /// the attempt, its end and the answer.
+    /// Returns `true` if the request was served by its first attempt, and nothing else happened: the three
+    /// steps are the attempt, its end and the answer.
     pub fn was_served_by_first_attempt(&self) -> bool {
         let is_served =
             |step: &TraceStep| matches!(step.event, TraceEvent::Answered(RequestEnding::Served));
