--- a/src/node/snapshot/process_id.rs
+++ b/src/node/snapshot/process_id.rs
@@ -22,20 +22,20 @@
 }
 
 impl ProcessId {
-    /// The identity of the calling process.
+    /// Returns the identity of the calling process.
     pub fn current() -> ProcessId {
         let pid = std::process::id();
         ProcessId { pid, start_ticks: start_ticks(pid).unwrap_or(0) }
     }
 
-    /// Whether this process still runs. Another process with the same pid does not count.
+    /// Returns `true` if this process still runs. Another process with the same pid does not count.
     pub fn is_running(&self) -> bool {
         start_ticks(self.pid) == Some(self.start_ticks)
     }
 }
 
-/// When the process with this pid started, in clock ticks since boot. Returns `None` if there is no such
-/// process, or if it has ended and its parent has not yet collected it (a zombie).
+/// Returns when the process with this pid started, in clock ticks since boot, or `None` if there is no such
+/// process or if it has ended and its parent has not yet collected it (a zombie).
 fn start_ticks(pid: u32) -> Option<u64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let (_, fields) = stat.rsplit_once(") ")?;
--- a/src/node/snapshot/state_file.rs
+++ b/src/node/snapshot/state_file.rs
@@ -97,7 +97,7 @@
     }
 
     /// Reads a file of format version 1, which was plain JSON without a first line and a checksum. Returns
-    /// `None` if the file does not begin like JSON.
+    /// `None` if the file cannot be read or does not begin with `{`.
     pub fn read_version_1(&self) -> Option<String> {
         std::fs::read_to_string(self.path()).ok().filter(|text| text.starts_with('{'))
     }
@@ -156,8 +156,8 @@
         }
     }
 
-    /// The process whose draft has this file name. Returns `None` if `name` is not that of a draft of this
-    /// file.
+    /// Returns the process whose draft has this file name, or `None` if `name` is not that of a draft of
+    /// this file.
     fn draft_writer(&self, name: &str) -> Option<ProcessId> {
         let writer = name.strip_prefix(self.name)?.strip_prefix('.')?;
         let (pid, start_ticks) = match writer.strip_suffix(DRAFT_SUFFIX) {
@@ -204,7 +204,7 @@
     Ok(Some(body.to_owned()))
 }
 
-/// The checksum that the first line states. Returns `None` if it is not the first line of a file of this
+/// Returns the checksum that the first line states, or `None` if it is not the first line of a file of this
 /// format version.
 fn parse_first_line(first_line: &str) -> Option<u32> {
     let version_and_checksum = first_line.strip_prefix(MAGIC)?.trim_start();
--- a/src/node/snapshot/store.rs
+++ b/src/node/snapshot/store.rs
@@ -52,12 +52,12 @@
 }
 
 impl OperatorOverrides {
-    /// Overrides that have `disabled` out of service and all other endpoints in service.
+    /// Creates overrides that have `disabled` out of service and all other endpoints in service.
     pub fn new(revision: u64, disabled: &BTreeSet<EndpointId>) -> OperatorOverrides {
         OperatorOverrides { revision, disabled: disabled.iter().map(|id| id.0).collect() }
     }
 
-    /// The endpoints that are out of service.
+    /// Returns the endpoints that are out of service.
     pub fn disabled(&self) -> BTreeSet<EndpointId> {
         self.disabled.iter().map(|id| EndpointId(*id)).collect()
     }
@@ -130,8 +130,8 @@
     pub process: ProcessRecord,
 }
 
-/// `node-state.json` of format version 1, which contained the overrides as well. Its record of the
-/// endpoints is not read, because its times are wall clock times.
+/// The content of `node-state.json` in format version 1, which contained the overrides as well. The record
+/// of the endpoints is not read, because its times are wall clock times.
 #[derive(Debug, Deserialize)]
 struct Version1File {
     version: u64,
@@ -146,7 +146,7 @@
 }
 
 impl Version1File {
-    /// Returns `None` if `text` is not a file of version 1.
+    /// Parses the text of a file. Returns `None` if it is not a valid file of version 1.
     fn parse(text: &str) -> Option<Version1Records> {
         let file: Version1File = serde_json::from_str(text).ok()?;
         if file.version != 1 {
--- a/src/node/snapshot/takeover.rs
+++ b/src/node/snapshot/takeover.rs
@@ -22,10 +22,10 @@
 use tokio::time::MissedTickBehavior;
 use wheelpath::policy::EndpointId;
 
-/// How often this process compares its overrides with those in the file and looks which process the process
-/// record names.
+/// Time between two comparisons of this process's overrides with those in the file. Each comparison also
+/// checks which process the process record names.
 const SYNC_INTERVAL: Duration = Duration::from_millis(200);
-/// The process record is written in one of this many comparisons, so once a second.
+/// The process record is written at one of this many comparisons, so once a second.
 const SYNCS_PER_PROCESS_RECORD: u32 = 5;
 /// For how long a failed override is retried. The command has to be answered within a second.
 const OVERRIDE_TIMEOUT: Duration = Duration::from_millis(700);
@@ -80,8 +80,8 @@
     }
 
     /// Restores the state that the previous process left, and writes a process record that names this
-    /// process as the serving one. Returns true if the previous process had a newer endpoint list than this
-    /// one has been started with.
+    /// process as the serving one. Returns `true` if the previous process had a newer endpoint list than
+    /// this one has been started with.
     pub fn take_over(&self, driver: &Rc<Driver>) -> bool {
         let (overrides, process) = match self.store.read_version_1() {
             Some(Version1Records { overrides, process }) => (Ok(Some(overrides)), Ok(Some(process))),
@@ -96,7 +96,7 @@
                 ));
             }
         }
-        let is_behind = match process {
+        let is_list_outdated = match process {
             Ok(Some(record)) => self.restore_process_record(&record, driver),
             Ok(None) => {
                 log::line("handover: no state of an earlier process found, starting without it");
@@ -111,7 +111,7 @@
         };
         self.store.remove_stale_drafts();
         self.write_process_record(driver);
-        is_behind
+        is_list_outdated
     }
 
     fn restore_overrides(&self, overrides: &OperatorOverrides, driver: &Rc<Driver>) {
@@ -121,12 +121,12 @@
         disabled.into_iter().for_each(|id| driver.handle(DriverEvent::Disable(id)));
     }
 
-    /// Returns true if the process that wrote the record had a newer endpoint list than this one has been
-    /// started with.
+    /// Restores the learned state in the record. Returns `true` if the process that wrote the record had a
+    /// newer endpoint list than this one has been started with.
     fn restore_process_record(&self, record: &ProcessRecord, driver: &Rc<Driver>) -> bool {
-        let is_behind = record.list_version > self.list_version.get();
+        let is_list_outdated = record.list_version > self.list_version.get();
         let newer_list =
-            if is_behind { ", its endpoint list is newer than the configured one" } else { "" };
+            if is_list_outdated { ", its endpoint list is newer than the configured one" } else { "" };
         let (pid, endpoints) = (record.process.pid, record.endpoints.len());
         log::line(&format!("handover: took over from process {pid}: {endpoints} servers{newer_list}"));
         let now_ms = driver.clock.now_ms();
@@ -134,7 +134,7 @@
         driver.handle(DriverEvent::SnapshotRestored(snapshot));
         self.predecessor.set(Some(record.process));
         self.observe_process(record.process, driver);
-        is_behind
+        is_list_outdated
     }
 
     fn write_process_record(&self, driver: &Driver) {
@@ -160,10 +160,10 @@
     }
 
     /// Takes an endpoint out of service or puts it back. The change is durable when this returns `Ok`; the
-    /// value is true if the endpoint was not in that state already.
+    /// value is `true` if the endpoint was not in that state already.
     ///
     /// # Errors
-    /// Until the timeout, another process held the lock or the change could not be written. The overrides
+    /// Another process held the lock, or the change could not be written, until the timeout. The overrides
     /// of this process are unchanged, apart from newer ones of another process that it has adopted.
     pub async fn set_disabled(
         &self,
@@ -246,7 +246,8 @@
         self.store.write_overrides(&OperatorOverrides::new(revision, disabled), durability)
     }
 
-    /// The overrides in the file. If the file is missing or cannot be read: no overrides, at revision 0.
+    /// Returns the overrides in the file. If the file is missing or cannot be read, returns no overrides,
+    /// at revision 0.
     fn stored_overrides(&self) -> OperatorOverrides {
         self.store.read_overrides().ok().flatten().unwrap_or_default()
     }
@@ -288,19 +289,19 @@
         }
     }
 
-    /// Whether another process has taken over from this one and still runs.
+    /// Returns `true` if another process has taken over from this one and still runs.
     pub fn has_successor(&self) -> bool {
         self.serving_process().is_some_and(|process| self.is_successor(process))
     }
 
-    /// The process that the process record names. Returns `None` if the record is missing or cannot be
+    /// Returns the process that the process record names, or `None` if the record is missing or cannot be
     /// read.
     fn serving_process(&self) -> Option<ProcessId> {
         self.store.read_process().ok().flatten().map(|record| record.process)
     }
 
-    /// Whether `process` is another running process and not the predecessor. The record may name the
-    /// predecessor, because that process may have written it once more just after this one did.
+    /// Returns `true` if `process` is another running process and not the predecessor. The record may name
+    /// the predecessor, because that process may have written it once more just after this one did.
     fn is_successor(&self, process: ProcessId) -> bool {
         self.is_other_running(process) && self.predecessor.get() != Some(process)
     }
@@ -326,8 +327,8 @@
         }
     }
 
-    /// Compares this process with the files periodically, and writes the process record, for as long as the
-    /// process lives.
+    /// Periodically brings the overrides in line with the file, checks which process the process record
+    /// names, and writes that record, for as long as the process lives.
     pub async fn run(self: Rc<Self>, driver: Rc<Driver>) {
         let mut ticks = tokio::time::interval(SYNC_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
