--- a/src/node/system/acceptor.rs
+++ b/src/node/system/acceptor.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A short text for the log, under which failures are counted.
+    /// Returns a short text for the log, under which failures are counted.
     pub fn text(&self) -> &'static str {
         match self {
             AcceptError::ConnectionClosed => "closed before it was accepted",
@@ -66,8 +66,8 @@
 }
 
 impl Acceptor {
-    /// `listening_since` is when this process began to listen; `None` if it inherited the socket, on which
-    /// connections may have waited before.
+    /// Creates an acceptor. `listening_since` is when this process began to listen; `None` if it inherited
+    /// the socket, on which connections may have waited before.
     pub fn new(listener: TcpListener, listening_since: Option<Instant>) -> Acceptor {
         Acceptor {
             listener,
@@ -78,8 +78,8 @@
         }
     }
 
-    /// How long the connection that was accepted last can have waited in the accept queue at most. Returns
-    /// `None` if that is unknown.
+    /// Returns the longest time that the connection that was accepted last can have waited in the accept
+    /// queue, or `None` if that is unknown.
     pub fn max_queue_wait(&self) -> Option<Duration> {
         self.filled_since.get().map(|since| since.elapsed())
     }
--- a/src/node/system/clock.rs
+++ b/src/node/system/clock.rs
@@ -14,9 +14,11 @@
 /// Longest time in which both clocks must have been read. The process may be suspended between the two
 /// readings, which would look like a step, so a slower reading is discarded and repeated.
 const MAX_READ_TIME: Duration = Duration::from_millis(5);
-/// How often a slow reading of both clocks is repeated before it is given up.
+/// Maximum number of attempts to read both clocks within [`MAX_READ_TIME`]. If all are too slow, no reading
+/// is recorded.
 const READ_ATTEMPTS: u32 = 4;
-/// How many periods between steps are remembered. Steps before them are older than any slow start.
+/// Maximum number of periods between steps that are remembered. Steps before them are older than any slow
+/// start.
 const MAX_PERIODS: usize = 16;
 
 /// Converts `ms` milliseconds to a duration between 0 and `max_ms`. Settings and the balancer may state any
@@ -30,24 +32,24 @@
 struct OffsetPeriod {
     /// Wall clock minus monotonic clock, in milliseconds.
     offset_ms: f64,
-    /// Begin of the period, on the monotonic clock: the last reading before the step. Minus infinity for
-    /// the first period.
+    /// Start of the period, in milliseconds on the monotonic clock: the last reading before the step. Minus
+    /// infinity for the first period.
     from_ms: f64,
-    /// The last reading of the period, on the monotonic clock.
+    /// The last reading of the period, in milliseconds on the monotonic clock.
     until_ms: f64,
 }
 
 /// The history of the offset between the wall clock and the monotonic clock.
 ///
 /// A step is noticed only at the next reading, so it is not known when it came between two readings. The
-/// new period therefore begins at the last reading before the step.
+/// new period therefore starts at the last reading before the step.
 #[derive(Debug, Default)]
 struct WallClockHistory {
     periods: Vec<OffsetPeriod>,
 }
 
 impl WallClockHistory {
-    /// Adds a reading of both clocks: extends the latest period, or begins a new one if the wall clock was
+    /// Adds a reading of both clocks: extends the latest period, or starts a new one if the wall clock was
     /// stepped.
     fn record(&mut self, now_ms: f64, wall_ms: f64) {
         let offset_ms = wall_ms - now_ms;
@@ -66,9 +68,9 @@
         }
     }
 
-    /// When the wall clock showed `wall_ms`, on the monotonic clock. If it showed that time more than once,
-    /// because it was stepped back, the last occurrence counts. Returns `None` if it never showed that
-    /// time.
+    /// Returns when the wall clock showed `wall_ms`, in milliseconds on the monotonic clock. If it showed
+    /// that time more than once, because it was stepped back, the last occurrence counts. Returns `None` if
+    /// it never showed that time.
     fn find(&self, wall_ms: f64) -> Option<f64> {
         let occurrences = self.periods.iter().filter_map(|period| {
             let at_ms = wall_ms - period.offset_ms;
@@ -98,7 +100,7 @@
         clock
     }
 
-    /// The current time of this clock, in milliseconds.
+    /// Returns the current time of this clock, in milliseconds.
     pub fn now_ms(&self) -> f64 {
         self.at_ms(Instant::now())
     }
--- a/src/node/system/connect.rs
+++ b/src/node/system/connect.rs
@@ -70,7 +70,7 @@
     TcpStream::from_std(socket.into())
 }
 
-/// Whether an error of the connect call means that a peer on this machine refused the connection.
+/// Returns `true` if an error of the connect call means that a peer on this machine refused the connection.
 fn is_immediate_refusal(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::ConnectionRefused | io::ErrorKind::ConnectionReset)
 }
--- a/src/node/system/descriptors.rs
+++ b/src/node/system/descriptors.rs
@@ -1,8 +1,9 @@
 //! Limits how many file descriptors the sockets of this process use.
 //!
-//! Sockets to clients, endpoints and discovery share one limit of the process, and idle clients alone could
-//! use it up. Every socket therefore needs a permit. If no permit is left, an idle connection is closed to
-//! free one. Some permits are kept from clients, and calls of the node itself do not wait for a permit.
+//! Sockets to clients, endpoints, discovery and operators share one limit of the process, and idle clients
+//! alone could use it up. Every socket therefore needs a permit. If no permit is left, an idle connection is
+//! closed to free one. Some permits are kept from clients, and connections of the node itself and of
+//! operators do not wait for a permit.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,17 +16,17 @@
 const RESERVED_DESCRIPTORS: usize = 24;
 /// Minimum number of permits, however low the limit of the process is.
 const MIN_PERMITS: usize = 8;
-/// One part in this many of the permits is kept from clients.
+/// Clients cannot use the number of permits divided by this, which is one third of the permits.
 const KEPT_FROM_CLIENTS_DIVISOR: usize = 3;
-/// How often a wait for a permit tries again to close an idle connection: one that was about to close may
-/// have become busy instead.
+/// Time after which a wait for a permit tries again to close an idle connection: one that was about to
+/// close may have become busy instead.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Closes an idle connection. Returns true if that freed a descriptor at once, false if there is no idle
-/// connection or the descriptor will be freed later.
+/// Closes an idle connection. Returns `true` if that freed a descriptor at once, and `false` if there is no
+/// idle connection or the descriptor will be freed later.
 type Reclaim = Box<dyn Fn() -> bool>;
 
-/// The soft limit of the system on open descriptors of this process. Returns `None` if it is unlimited or
+/// Returns the system's soft limit on open descriptors of this process, or `None` if it is unlimited or
 /// unknown.
 pub fn system_limit() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
@@ -33,7 +34,7 @@
     line.split_whitespace().next()?.parse().ok()
 }
 
-/// The permits for descriptors that the sockets to clients, endpoints and discovery share.
+/// The permits for descriptors that the sockets to clients, endpoints, discovery and operators share.
 pub struct Descriptors {
     /// Permits in use, including those taken without waiting, so it may exceed `limit`.
     used: Cell<usize>,
@@ -58,7 +59,7 @@
         })
     }
 
-    /// The number of permits.
+    /// Returns the number of permits.
     pub fn limit(&self) -> usize {
         self.limit
     }
@@ -81,8 +82,9 @@
         self.endpoint_connection_reclaim.borrow().as_ref().is_some_and(|reclaim| reclaim())
     }
 
-    /// Closes an idle connection to an endpoint or, if there is none, to a client. Also of use when permits
-    /// are left but the system has run out of descriptors. Returns true if a descriptor was freed at once.
+    /// Closes an idle connection to an endpoint or, if that frees no descriptor, to a client. Also of use
+    /// when permits are left but this process is out of descriptors. Returns `true` if a descriptor was
+    /// freed at once.
     pub fn reclaim(&self) -> bool {
         self.reclaim_endpoint_connection() || self.reclaim_client()
     }
--- a/src/node/system/length_headers.rs
+++ b/src/node/system/length_headers.rs
@@ -14,21 +14,21 @@
     count: u64,
     /// Length of the current line so far, without its line break.
     line_bytes: usize,
-    /// Whether the current line so far matches [`CONTENT_LENGTH`], up to the length of that.
+    /// Whether the current line so far matches the start of [`CONTENT_LENGTH`], or begins with all of it.
     line_matches: bool,
     /// Whether the head has a line that is not empty. After that, an empty line ends the head.
-    has_begun: bool,
+    has_line: bool,
     /// Whether the head has ended.
     is_in_body: bool,
 }
 
 impl LengthHeaderCounter {
-    /// A counter for the next head, which continues the count.
+    /// Returns a counter for the next head, which continues the count.
     pub fn expect_head(self) -> LengthHeaderCounter {
         LengthHeaderCounter { count: self.count, ..LengthHeaderCounter::default() }
     }
 
-    /// The number of Content-Length lines in all heads so far.
+    /// Returns the number of Content-Length lines in all heads so far.
     pub fn count(self) -> u64 {
         self.count
     }
@@ -45,11 +45,11 @@
 
     fn record_byte(&mut self, byte: u8) {
         match byte {
-            b'\n' if self.line_bytes == 0 && self.has_begun => self.is_in_body = true,
+            b'\n' if self.line_bytes == 0 && self.has_line => self.is_in_body = true,
             b'\n' => self.line_bytes = 0,
             b'\r' => {}
             _ => {
-                self.has_begun = true;
+                self.has_line = true;
                 let expected = CONTENT_LENGTH.get(self.line_bytes);
                 let byte_matches = expected.is_none_or(|expected| *expected == byte.to_ascii_lowercase());
                 self.line_matches = (self.line_bytes == 0 || self.line_matches) && byte_matches;
--- a/src/node/system/receive_timestamp.rs
+++ b/src/node/system/receive_timestamp.rs
@@ -20,7 +20,8 @@
 
 /// Shorter waits are ignored: they occur on every connection and in the event loop itself.
 const MIN_WAIT: Duration = Duration::from_millis(20);
-/// How often the datagram is tried. The system may be unable to open a socket for it for a moment.
+/// Maximum number of attempts to send and receive the datagram. The system may be unable to open a socket
+/// for it for a moment.
 const DATAGRAM_ATTEMPTS: u32 = 4;
 /// How long to wait for the datagram. It does not leave the machine.
 const DATAGRAM_TIMEOUT: Duration = Duration::from_millis(5);
@@ -31,9 +32,9 @@
     let _ = setsockopt(listener, sockopt::ReceiveTimestampns, &true);
 }
 
-/// When the oldest unread byte of a connection was received. Returns `None` if there is no unread byte, or
-/// if it was received less than `MIN_WAIT` ago. `max_wait` is how long the connection can have waited at
-/// most, if that is known.
+/// Returns when the oldest unread byte of a connection was received. Returns `None` if there is no unread
+/// byte or no timestamp, or if the byte was received less than [`MIN_WAIT`] ago. `max_wait` is the longest
+/// time that the connection can have waited, if that is known.
 pub fn first_byte_received_at(stream: &TcpStream, max_wait: Option<Duration>) -> Option<Instant> {
     if max_wait.is_some_and(|max_wait| max_wait < MIN_WAIT) {
         return None;
@@ -44,7 +45,7 @@
     if waited < MIN_WAIT { None } else { Instant::now().checked_sub(waited) }
 }
 
-/// The current time since 1970, by the clock that the kernel takes receive timestamps from. Falls back to
+/// Returns the time since 1970, by the clock that the kernel takes receive timestamps from. Falls back to
 /// the wall clock that this process is shown if no datagram can be sent or received; the two are nearly
 /// always the same.
 fn kernel_now() -> Option<Duration> {
@@ -52,7 +53,7 @@
     timestamp.or_else(|| SystemTime::now().duration_since(UNIX_EPOCH).ok())
 }
 
-/// The receive timestamp of a datagram that this process sends to itself.
+/// Returns the receive timestamp of a datagram that this process sends to itself.
 fn loopback_timestamp() -> io::Result<Option<Duration>> {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
     setsockopt(&socket, sockopt::ReceiveTimestampns, &true)?;
@@ -66,8 +67,8 @@
     Ok(receive_timestamp(&socket, MsgFlags::empty()))
 }
 
-/// The kernel's receive timestamp of the oldest unread byte of a socket, since 1970. Returns `None` if
-/// there is no unread byte or no timestamp.
+/// Returns the kernel's receive timestamp of the oldest unread byte of a socket, as the time since 1970, or
+/// `None` if there is no unread byte or no timestamp.
 fn receive_timestamp(socket: &impl AsRawFd, flags: MsgFlags) -> Option<Duration> {
     let mut byte = [0];
     let mut parts = [IoSliceMut::new(&mut byte)];
--- a/src/node/system/retry.rs
+++ b/src/node/system/retry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Makes a call until it succeeds, or until `may_retry` returns false for its error. Waits for `pause`
+/// Makes a call until it succeeds, or until `may_retry` returns `false` for its error. Waits for `pause`
 /// before each retry.
 ///
 /// # Errors
--- a/src/node/system/socket.rs
+++ b/src/node/system/socket.rs
@@ -13,8 +13,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How many bytes of a streamed response the system may hold unsent. A client at the slowest rate allowed
-/// takes as many in two seconds.
+/// Maximum number of unsent bytes of a streamed response in the system's send buffer. At 64 kB per second,
+/// the rate of the slowest legitimate clients, a client receives as many in two seconds.
 const MAX_UNSENT_BYTES: u32 = 128 * 1024;
 
 struct Inner {
@@ -49,12 +49,13 @@
         }))
     }
 
-    /// Bytes read through this socket so far, without those that were peeked at or discarded.
+    /// Returns the number of bytes read through this socket so far, without those that were peeked at or
+    /// discarded.
     pub fn bytes_read(&self) -> u64 {
         self.0.bytes_read.get()
     }
 
-    /// Bytes handed to the system for sending so far.
+    /// Returns the number of bytes handed to the system for sending so far.
     pub fn bytes_written(&self) -> u64 {
         self.0.bytes_written.get()
     }
@@ -66,12 +67,13 @@
         self.0.length_headers.set(Some(counter.expect_head()));
     }
 
-    /// When the first byte of the current head was read. Returns `None` if none of it has been read.
+    /// Returns when the first byte of the current head was read, or `None` if none of it has been read.
     pub fn head_begun_at(&self) -> Option<Instant> {
         self.0.head_begun_at.get()
     }
 
-    /// How many Content-Length lines all heads have had since the first call of [`Socket::expect_head`].
+    /// Returns the number of Content-Length lines in all heads since the first call of
+    /// [`Socket::expect_head`].
     pub fn length_header_count(&self) -> u64 {
         self.0.length_headers.get().map_or(0, LengthHeaderCounter::count)
     }
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Whether the socket has no unread bytes and the peer has neither closed nor reset the connection.
-    /// Asks the system, because the poller may not have reported the latest state yet.
+    /// Returns `true` if the socket has no unread bytes and the peer has neither closed nor reset the
+    /// connection. Asks the system, because the poller may not have reported the latest state yet.
     pub fn is_quiet(&self) -> bool {
         let mut byte = [std::mem::MaybeUninit::uninit()];
         loop {
@@ -139,8 +141,8 @@
     }
 }
 
-/// Has the task polled again, because the system lacks buffers for the moment while the connection is
-/// intact.
+/// Returns [`Poll::Pending`] and wakes the task, so that it is polled again. Used when the system lacks
+/// buffers for the moment while the connection is intact.
 fn poll_again<T>(cx: &Context<'_>) -> Poll<T> {
     cx.waker().wake_by_ref();
     Poll::Pending
@@ -170,7 +172,7 @@
 }
 
 impl Socket {
-    /// Calls `write` when the socket is writable, and counts the bytes that it wrote.
+    /// Calls `write` when the socket is writable, and counts the bytes that were written.
     fn poll_counted_write(
         &self,
         cx: &mut Context<'_>,
--- a/src/node/system/syscall_errors.rs
+++ b/src/node/system/syscall_errors.rs
@@ -9,22 +9,24 @@
 /// For how long a starting process retries a call that it cannot start without.
 const START_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Whether this process is at its limit of descriptors.
+/// Returns `true` if this process is at its limit of descriptors.
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     error.raw_os_error() == Some(libc::EMFILE)
 }
 
-/// Whether a signal interrupted the call before it did anything, so that it should be made again at once.
+/// Returns `true` if a signal interrupted the call before it did anything, so that it should be made again
+/// at once.
 pub fn is_interrupted(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Interrupted
 }
 
-/// Whether the system lacks memory or buffers for the moment. The socket itself is intact.
+/// Returns `true` if the system lacks memory or buffers for the moment. The socket itself is intact.
 pub fn is_out_of_buffers(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::ENOBUFS | libc::ENOMEM))
 }
 
-/// Whether the call may succeed a moment later, because the system lacks a resource only for now.
+/// Returns `true` if the call may succeed a moment later, because a signal interrupted it or the system
+/// lacks a resource only for now.
 fn is_transient(error: &io::Error) -> bool {
     let is_out_of_resources = matches!(error.raw_os_error(), Some(libc::ENFILE | libc::EAGAIN));
     is_interrupted(error) || is_out_of_buffers(error) || is_out_of_resources
