--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -216,7 +216,7 @@
         driver.handle(DriverEvent::Start);
         let version = Rc::new(Cell::new(apply_cached_list(&driver, &config.cached_endpoint_list, &names)));
         let takeover = is_listener_shared.then(|| Takeover::new(version.clone()));
-        let is_behind = takeover.as_ref().is_some_and(|takeover| take_over(takeover, &driver));
+        let is_list_outdated = takeover.as_ref().is_some_and(|takeover| take_over(takeover, &driver));
         let (discovery_address, address) = watch::channel(config.discovery);
         let watch = DiscoveryWatch::new(WatchSetup {
             address,
@@ -225,7 +225,7 @@
             descriptors: descriptors.clone(),
             watch_requests,
             version,
-            is_list_outdated: is_behind,
+            is_list_outdated,
             rng: fastrand::Rng::with_seed(!config.seed),
         });
         spawn_background_tasks(
@@ -320,9 +320,9 @@
 /// another one that runs in parallel. The task runs as long as the node. Returns whether the previous process
 /// had a newer endpoint list.
 fn take_over(takeover: &Rc<Takeover>, driver: &Rc<Driver>) -> bool {
-    let is_behind = takeover.take_over(driver);
+    let is_list_outdated = takeover.take_over(driver);
     spawn_local(takeover.clone().run(driver.clone()));
-    is_behind
+    is_list_outdated
 }
 
 /// Passes the messages of other nodes to the driver.
