--- a/src/node/frontend/client_connection.rs
+++ b/src/node/frontend/client_connection.rs
@@ -142,7 +142,7 @@
     /// Returns when the next request head must be complete.
     pub fn head_deadline(&self) -> Instant {
         let idle_since = self.idle_since.get();
-        match self.socket.head_begun_at() {
+        match self.socket.head_started_at() {
             Some(begun_at) if self.has_sent_request.get() => begun_at + REQUEST_HEAD_TIMEOUT,
             Some(begun_at) => (begun_at + REQUEST_HEAD_TIMEOUT).min(idle_since + FIRST_REQUEST_TIMEOUT),
             None => idle_since + REQUEST_HEAD_TIMEOUT,
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -218,7 +218,7 @@
         let needs_another_check = has_elapsed && !check.was_repeated && !client.socket.is_quiet();
         check.was_repeated = needs_another_check;
         if has_elapsed && !needs_another_check {
-            if client.socket.head_begun_at().is_none() {
+            if client.socket.head_started_at().is_none() {
                 return Some(CloseReason::IdleTimeout);
             }
             self.count_rejection("incomplete request head");
--- a/src/node/system/socket.rs
+++ b/src/node/system/socket.rs
@@ -22,7 +22,7 @@
     bytes_read: Cell<u64>,
     bytes_written: Cell<u64>,
     /// When the first byte of the current head was read; `None` if none of it has been read.
-    head_begun_at: Cell<Option<Instant>>,
+    head_started_at: Cell<Option<Instant>>,
     /// `None` until [`Socket::expect_head`] is called, so for connections that receive no requests.
     length_headers: Cell<Option<LengthHeaderCounter>>,
     _permit: DescriptorPermit,
@@ -43,7 +43,7 @@
             stream,
             bytes_read: Cell::new(0),
             bytes_written: Cell::new(0),
-            head_begun_at: Cell::new(None),
+            head_started_at: Cell::new(None),
             length_headers: Cell::new(None),
             _permit: permit,
         }))
@@ -62,14 +62,14 @@
 
     /// Declares that the next byte that is read begins a request head.
     pub fn expect_head(&self) {
-        self.0.head_begun_at.set(None);
+        self.0.head_started_at.set(None);
         let counter = self.0.length_headers.get().unwrap_or_default();
         self.0.length_headers.set(Some(counter.expect_head()));
     }
 
     /// Returns when the first byte of the current head was read, or `None` if none of it has been read.
-    pub fn head_begun_at(&self) -> Option<Instant> {
-        self.0.head_begun_at.get()
+    pub fn head_started_at(&self) -> Option<Instant> {
+        self.0.head_started_at.get()
     }
 
     /// Returns the number of Content-Length lines in all heads since the first call of
@@ -80,8 +80,8 @@
 
     fn record_read(&self, bytes: &[u8]) {
         self.0.bytes_read.set(self.0.bytes_read.get() + bytes.len() as u64);
-        if !bytes.is_empty() && self.0.head_begun_at.get().is_none() {
-            self.0.head_begun_at.set(Some(Instant::now()));
+        if !bytes.is_empty() && self.0.head_started_at.get().is_none() {
+            self.0.head_started_at.set(Some(Instant::now()));
         }
         if let Some(mut counter) = self.0.length_headers.get() {
             counter.record(bytes);
