--- a/src/node/observability/request_trace.rs
+++ b/src/node/observability/request_trace.rs
@@ -70,7 +70,7 @@
 /// An event in the course of a request.
 #[derive(Clone, Copy, Debug)]
 enum TraceEvent {
-    Sent { attempt: u32, endpoint: EndpointId },
+    Ordered { attempt: u32, endpoint: EndpointId },
     Withheld(WithheldReason),
     Ended { attempt: u32, outcome: AttemptOutcome },
     Answered(RequestEnding),
@@ -112,8 +112,8 @@
     }
 
     /// Records that the balancer ordered an attempt.
-    pub fn record_sent(&mut self, attempt: u32, endpoint: EndpointId) {
-        self.record(TraceEvent::Sent { attempt, endpoint });
+    pub fn record_ordered(&mut self, attempt: u32, endpoint: EndpointId) {
+        self.record(TraceEvent::Ordered { attempt, endpoint });
     }
 
     /// Records that an attempt that the balancer ordered did not begin.
@@ -143,7 +143,9 @@
 impl Display for TraceEvent {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            TraceEvent::Sent { attempt, endpoint } => write!(f, "attempt {attempt} to {:016x}", endpoint.0),
+            TraceEvent::Ordered { attempt, endpoint } => {
+                write!(f, "attempt {attempt} to {:016x}", endpoint.0)
+            }
             TraceEvent::Withheld(reason) => write!(f, "withheld {}", reason.name()),
             TraceEvent::Ended { attempt, outcome } => write!(f, "attempt {attempt} {}", outcome.name()),
             TraceEvent::Answered(ending) => match ending {
