--- a/src/node/observability/log.rs
+++ b/src/node/observability/log.rs
@@ -24,8 +24,8 @@
 const ALL_TRACES_PER_SECOND: u32 = 5000;
 /// The environment variable that, with the value `all`, has the traces of all requests logged.
 const TRACE_VARIABLE: &str = "LB_TRACE";
-/// The longest line, in bytes with its line break. A pipe that is writable takes a write of this size
-/// (`PIPE_BUF`) as a whole.
+/// Maximum length of a line, in bytes, including its line break. A pipe that is writable takes a write of
+/// this size (`PIPE_BUF`) as a whole.
 const MAX_LINE_BYTES: usize = 4096;
 /// The path through which the pipe behind standard error can be opened a second time.
 const STANDARD_ERROR_PATH: &str = "/proc/self/fd/2";
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,4 +1,5 @@
-//! Sends and receives messages between the nodes of a tier, as UDP datagrams.
+//! Sends and receives messages between the nodes of a tier, as UDP datagrams. A tier is the group of nodes
+//! that run as one load balancer.
 //!
 //! Messages may be lost. Any host that can reach the socket can send to it, so the node ignores messages
 //! from addresses outside of the tier, and messages above the size limit.
--- a/src/node/snapshot/store.rs
+++ b/src/node/snapshot/store.rs
@@ -121,7 +121,7 @@
     }
 }
 
-/// All that a process of format version 1 left in its single file.
+/// The records that are read from the single file of a process of format version 1.
 #[derive(Debug, PartialEq)]
 pub struct Version1Records {
     /// The operators' overrides at that time.
--- a/src/node/system/clock.rs
+++ b/src/node/system/clock.rs
@@ -11,8 +11,8 @@
 /// Smallest change of the offset that counts as a step of the wall clock. Smaller changes are drift, or the
 /// time that passes between reading the two clocks.
 const MIN_STEP_MS: f64 = 100.0;
-/// Longest time in which both clocks must have been read. The process may be suspended between the two
-/// readings, which would look like a step, so a slower reading is discarded and repeated.
+/// Maximum time for reading both clocks. The process may be suspended between the two readings, which would
+/// look like a step, so a slower reading is discarded and repeated.
 const MAX_READ_TIME: Duration = Duration::from_millis(5);
 /// Maximum number of attempts to read both clocks within [`MAX_READ_TIME`]. If all are too slow, no reading
 /// is recorded.
--- a/src/node/system/descriptors.rs
+++ b/src/node/system/descriptors.rs
@@ -1,9 +1,9 @@
 //! Limits how many file descriptors the sockets of this process use.
 //!
 //! Sockets to clients, endpoints, discovery and operators share one limit of the process, and idle clients
-//! alone could use it up. Every socket therefore needs a permit. If no permit is left, an idle connection is
-//! closed to free one. Some permits are kept from clients, and connections of the node itself and of
-//! operators do not wait for a permit.
+//! alone could use it up. Every socket therefore needs a permit. If no permit is left, an idle connection
+//! is closed to free one. Some permits are kept from clients, and connections to discovery and of operators
+//! do not wait for a permit.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/src/node/system/inherited_listener.rs
+++ b/src/node/system/inherited_listener.rs
@@ -14,7 +14,7 @@
 /// Why the inherited descriptor cannot be used.
 #[derive(Debug, Error)]
 pub enum InheritedListenerError {
-    /// The variable is not a number from [`FIRST_DESCRIPTOR`] on; holds its value.
+    /// The variable is not a number, or is below [`FIRST_DESCRIPTOR`]; holds its value.
     #[error("{DESCRIPTOR_VARIABLE}: {0:?} is not the number of a descriptor, {FIRST_DESCRIPTOR} or higher")]
     NotANumber(String),
     /// No descriptor with this number is open.
