--- a/src/node/system/descriptors.rs
+++ b/src/node/system/descriptors.rs
@@ -16,7 +16,7 @@
 const RESERVED_DESCRIPTORS: usize = 24;
 /// Minimum number of permits, however low the limit of the process is.
 const MIN_PERMITS: usize = 8;
-/// Clients cannot use the number of permits divided by this, which is one third of the permits.
+/// The number of permits divided by this, so one third of them, is kept from clients.
 const KEPT_FROM_CLIENTS_DIVISOR: usize = 3;
 /// Time after which a wait for a permit tries again to close an idle connection: one that was about to
 /// close may have become busy instead.
