--- a/tests/node_handover.rs
+++ b/tests/node_handover.rs
@@ -281,20 +281,20 @@
     let version_2 = state::with_checksum(r#"{"pid":1,"started":1,"list":4,"servers":[]}"#);
     // Each case is the list version in a file of version 1, or `version 2` for the file of that version, which has
     // list version 4.
-    for (list, is_behind) in [("3", false), ("null", false), ("4", true), ("version 2", true)] {
+    for (list, is_list_outdated) in [("3", false), ("null", false), ("4", true), ("version 2", true)] {
         let text = if list == "version 2" { version_2.clone() } else { version_1.replace("LIST", list) };
         std::fs::write(state_dir.join("node-state.json"), text).unwrap();
         let calls = discovery.call_count();
         let mut node = Node::launch_inheriting(discovery.address, &socket, &state_dir, configure);
         wait_for("the process is ready", || node.readiness_status() == 200);
-        if is_behind {
+        if is_list_outdated {
             wait_for("the process calls discovery", || discovery.call_count() > calls);
         }
         node.terminate();
         assert!(node.wait_for_exit().success());
         assert_eq!(
             node.log().contains("its endpoint list is newer than the configured one"),
-            is_behind,
+            is_list_outdated,
             "{list}"
         );
     }
