--- a/src/node/driver/request_table.rs
+++ b/src/node/driver/request_table.rs
@@ -3,7 +3,7 @@
 //! A request stays in the table after its answer until its last attempt has ended, so that the outcomes
 //! of all its attempts reach the balancer, the counters and the trace.
 
-use super::pending_response::{Answer, Responder};
+use super::pending_answer::{Answer, Responder};
 use crate::observability::counters::{CounterKind, Counters};
 use crate::observability::invariants::{AttemptRecord, RequestFacts};
 use crate::observability::log;
@@ -96,7 +96,7 @@
         now_ms: f64,
         cancel_handle: oneshot::Sender<()>,
     ) {
-        self.trace.record_sent(self.next_attempt(), endpoint);
+        self.trace.record_ordered(self.next_attempt(), endpoint);
         self.cancel_handles.push(Some(cancel_handle));
         self.attempts.push(AttemptRecord { location, sent_at_ms: now_ms, outcome: None });
     }
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -218,7 +218,7 @@
         let needs_recheck = has_elapsed && !check.is_recheck && !client.socket.is_quiet();
         check.is_recheck = needs_recheck;
         if has_elapsed && !needs_recheck {
-            if client.socket.head_begun_at().is_none() {
+            if client.socket.head_started_at().is_none() {
                 return Some(CloseReason::IdleTimeout);
             }
             self.count_rejection("incomplete request head");
