--- a/src/node/driver/event.rs
+++ b/src/node/driver/event.rs
@@ -42,9 +42,11 @@
         /// Sends the answer to the client's connection.
         responder: Responder,
     },
-    /// The client does not wait for the answer any more, or already has it. A request without an answer
-    /// ends with the given ending.
-    ClientDisconnected(RequestId, RequestEnding),
+    /// The client no longer waits for the answer to a request: it has disconnected, the request has
+    /// expired, or the process is about to end. Also reported after the answer has reached the client's
+    /// connection, and then without effect. If the request has no answer yet, it ends with the given
+    /// ending.
+    ClientWaitEnded(RequestId, RequestEnding),
     /// The last byte of a request's streamed body has been sent to the endpoint.
     RequestBodyComplete(RequestId),
     /// A streamed response has started.
--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -99,7 +99,8 @@
     }
 
     /// Submits a request to the balancer, and returns its pending answer. The balancer must end the
-    /// request by `deadline`. If it does not, the node fails the request at `expires_at`.
+    /// request by `deadline`. If it does not, the node fails the request at `expires_at`. Both are postponed
+    /// for a streamed body, by the time from this call until the last byte of the body has been forwarded.
     pub fn submit(
         self: &Rc<Self>,
         mut request: Request,
@@ -128,7 +129,7 @@
     pub fn fail_unanswered(self: &Rc<Self>) {
         let unanswered = self.state.borrow().requests.unanswered();
         for id in unanswered {
-            self.handle(DriverEvent::ClientDisconnected(id, RequestEnding::Stopped));
+            self.handle(DriverEvent::ClientWaitEnded(id, RequestEnding::Stopped));
         }
     }
 
@@ -261,7 +262,7 @@
                 self.requests.insert(request.id, open_request);
                 Event::Request(request)
             }
-            DriverEvent::ClientDisconnected(id, ending) => {
+            DriverEvent::ClientWaitEnded(id, ending) => {
                 // If the request has its answer, this event has no effect.
                 self.requests.get(id).filter(|request| request.awaits_answer())?;
                 self.requests.respond(id, Answer::Failed, ending);
--- a/src/node/driver/pending_answer.rs
+++ b/src/node/driver/pending_answer.rs
@@ -41,14 +41,16 @@
     }
 }
 
-/// The client's side of a pending answer. Dropping it reports to the driver that the client waits no
-/// longer, which has no effect once the request has its answer.
+/// The client's side of a pending answer. Dropping it reports [`DriverEvent::ClientWaitEnded`] to the
+/// driver, which has no effect if the request already has its answer.
 pub struct PendingAnswer {
     driver: Rc<Driver>,
     id: RequestId,
     proxied: Rc<ProxiedRequest>,
     answer: oneshot::Receiver<Answer>,
     submitted_at: Instant,
+    /// When the request expires if its body is buffered. A request with a streamed body expires later: the
+    /// time from `submitted_at` until the last byte of the body has been forwarded is added.
     expires_at: Instant,
     /// Whether the request expired before it had an answer.
     has_expired: bool,
@@ -71,7 +73,8 @@
     pub async fn answer(mut self) -> Answer {
         let proxied = self.proxied.clone();
         let expiry = async {
-            // The times of a request with a streamed body count from the end of the body.
+            // The time that a request with a streamed body has until its expiry counts from the end of the
+            // body, so the duration of the upload is added to `expires_at`.
             let completed_at = proxied.wait_until_body_complete().await;
             let delay = completed_at.map(|at| at.saturating_duration_since(self.submitted_at));
             tokio::time::sleep_until((self.expires_at + delay.unwrap_or_default()).into()).await;
@@ -90,6 +93,6 @@
 impl Drop for PendingAnswer {
     fn drop(&mut self) {
         let ending = if self.has_expired { RequestEnding::Expired } else { RequestEnding::ClientLeft };
-        self.driver.handle(DriverEvent::ClientDisconnected(self.id, ending));
+        self.driver.handle(DriverEvent::ClientWaitEnded(self.id, ending));
     }
 }
