--- a/src/node/observability/counters.rs
+++ b/src/node/observability/counters.rs
@@ -96,7 +96,7 @@
     /// details may follow it.
     pub fn record_violation(&self, violation: Violation, trace_id: &str) {
         self.count(CounterKind::Violation, violation.name());
-        log::urgent(&format!("violation: {}: {trace_id}", violation.name()));
+        log::line_without_rate_limit(&format!("violation: {}: {trace_id}", violation.name()));
     }
 
     /// Returns all counters above 0 in one line, preceded by the total number of violations, even if that
--- a/src/node/observability/log.rs
+++ b/src/node/observability/log.rs
@@ -22,7 +22,8 @@
 const TRACES_PER_SECOND: u32 = 5;
 /// Limit of request traces per second if `LB_TRACE` is `all`.
 const ALL_TRACES_PER_SECOND: u32 = 5000;
-/// The environment variable that, with the value `all`, has the traces of all requests logged.
+/// The environment variable that selects the requests whose traces are logged. With the value `all`, these
+/// are all requests.
 const TRACE_VARIABLE: &str = "LB_TRACE";
 /// Maximum length of a line, in bytes, including its line break. A pipe that is writable takes a write of
 /// this size (`PIPE_BUF`) as a whole.
@@ -72,15 +73,16 @@
     static DROPPED_LINES: Cell<u64> = const { Cell::new(0) };
 }
 
-/// Writes a line about the node, unless the limit per second is used up.
+/// Writes a line about the node, or drops it if the limit per second is used up.
 pub fn line(text: &str) {
     if LineBudget::take(&NODE_LINES, LINES_PER_SECOND).is_some() {
-        urgent(text);
+        line_without_rate_limit(text);
     }
 }
 
-/// Writes a line regardless of the limits per second: for events that are rare and must not be missed.
-pub fn urgent(text: &str) {
+/// Writes a line regardless of the limits per second. Outside of this module, it is for rare lines that must
+/// not be missed.
+pub fn line_without_rate_limit(text: &str) {
     let mut line = format!("wheelpath-node: {text}");
     line.truncate(line.floor_char_boundary(MAX_LINE_BYTES - 1));
     line.push('\n');
@@ -145,12 +147,13 @@
         .with(|all| *all.get_or_init(|| std::env::var(TRACE_VARIABLE).is_ok_and(|value| value == "all")))
 }
 
-/// Writes the trace of a request, unless the limit per second is used up. `text` is called only if the
-/// trace is written.
+/// Writes the trace of a request, or drops it if the limit per second is used up. `text` is called only if
+/// the limit allows the line.
 pub fn request(text: impl FnOnce() -> String) {
     let max_lines = if traces_all_requests() { ALL_TRACES_PER_SECOND } else { TRACES_PER_SECOND };
     if let Some(suppressed) = LineBudget::take(&REQUEST_LINES, max_lines) {
-        let before = if suppressed > 0 { format!(" ({suppressed} more before it)") } else { String::new() };
-        urgent(&format!("request {}{before}", text()));
+        let suppressed_text =
+            if suppressed > 0 { format!(" ({suppressed} more before it)") } else { String::new() };
+        line_without_rate_limit(&format!("request {}{suppressed_text}", text()));
     }
 }
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -273,7 +273,7 @@
         driver.fail_unanswered();
         frontend.wind_down(Instant::now() + SHUTDOWN_WRITE_TIME).await;
         driver.count_unanswered();
-        log::urgent(&format!("counters: {}", driver.counters.text()));
+        log::line_without_rate_limit(&format!("counters: {}", driver.counters.text()));
     }
 }
 
