--- a/src/node/driver/request_table.rs
+++ b/src/node/driver/request_table.rs
@@ -96,7 +96,7 @@
         now_ms: f64,
         cancel_handle: oneshot::Sender<()>,
     ) {
-        self.trace.record_ordered(self.next_attempt(), endpoint);
+        self.trace.record_attempt_requested(self.next_attempt(), endpoint);
         self.cancel_handles.push(Some(cancel_handle));
         self.attempts.push(AttemptRecord { location, sent_at_ms: now_ms, outcome: None });
     }
--- a/src/node/observability/counters.rs
+++ b/src/node/observability/counters.rs
@@ -17,7 +17,7 @@
     Rejection,
     /// Attempts, by their outcome.
     Attempt,
-    /// Attempts that the balancer ordered but the node did not begin, by what prevented them.
+    /// Attempts that the balancer requested but the node did not begin, by what prevented them.
     Withheld,
     /// Client connections, by why they were closed.
     Close,
--- a/src/node/observability/request_trace.rs
+++ b/src/node/observability/request_trace.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Why an attempt that the balancer ordered did not begin. The node checks again right before the first
+/// Why an attempt that the balancer requested did not begin. The node checks again right before the first
 /// byte is sent, because connecting takes time in which the request or the endpoint may change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithheldReason {
@@ -70,7 +70,7 @@
 /// An event in the course of a request.
 #[derive(Clone, Copy, Debug)]
 enum TraceEvent {
-    Ordered { attempt: u32, endpoint: EndpointId },
+    AttemptRequested { attempt: u32, endpoint: EndpointId },
     Withheld(WithheldReason),
     Ended { attempt: u32, outcome: AttemptOutcome },
     Answered(RequestEnding),
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Records that the balancer ordered an attempt.
-    pub fn record_ordered(&mut self, attempt: u32, endpoint: EndpointId) {
-        self.record(TraceEvent::Ordered { attempt, endpoint });
+    /// Records that the balancer requested an attempt.
+    pub fn record_attempt_requested(&mut self, attempt: u32, endpoint: EndpointId) {
+        self.record(TraceEvent::AttemptRequested { attempt, endpoint });
     }
 
-    /// Records that an attempt that the balancer ordered did not begin.
+    /// Records that an attempt that the balancer requested did not begin.
     pub fn record_withheld(&mut self, reason: WithheldReason) {
         self.record(TraceEvent::Withheld(reason));
     }
@@ -143,7 +143,7 @@
 impl Display for TraceEvent {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            TraceEvent::Ordered { attempt, endpoint } => {
+            TraceEvent::AttemptRequested { attempt, endpoint } => {
                 write!(f, "attempt {attempt} to {:016x}", endpoint.0)
             }
             TraceEvent::Withheld(reason) => write!(f, "withheld {}", reason.name()),
