--- a/src/node/discovery/client.rs
+++ b/src/node/discovery/client.rs
@@ -54,8 +54,8 @@
 const CHECKS_PER_WATCH: u32 = 2;
 /// A failed check is repeated after the check interval divided by this number, which is about 0.5 s.
 const FAILED_CHECK_RETRY_DIVISOR: u32 = 32;
-/// Size of the read buffer of a connection, in bytes.
-const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Maximum size of a connection's buffer, in bytes.
+const MAX_BUFFER_BYTES: usize = 64 * 1024;
 /// Largest accepted response body, in bytes. A full list may be much larger than a client's request.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
@@ -293,7 +293,7 @@
     async fn connect(&self, address: SocketAddr) -> Result<UpstreamConnection, DiscoveryError> {
         let deadline = Instant::now() + self.timeouts.connect;
         let permit = self.descriptors.take_without_waiting();
-        Ok(UpstreamConnection::open(address, deadline, permit, READ_BUFFER_BYTES).await?)
+        Ok(UpstreamConnection::open(address, deadline, permit, MAX_BUFFER_BYTES).await?)
     }
 
     /// Sends one request and receives its response, on `kept_connection` if that is alive and on a new
--- a/src/node/driver/mod.rs
+++ b/src/node/driver/mod.rs
@@ -61,7 +61,7 @@
     pub counters: Rc<Counters>,
     upstream: Rc<Upstream>,
     peers: Option<Rc<PeerSocket>>,
-    watch_requests: mpsc::UnboundedSender<bool>,
+    watch_request_sender: mpsc::UnboundedSender<bool>,
     next_request_id: Cell<u64>,
     /// Whether discovery has responded since the start, or has had enough time to. Until then the list
     /// may be too old to serve with.
@@ -69,14 +69,14 @@
 }
 
 impl Driver {
-    /// Creates a driver that has handled no event. It sends on `watch_requests` whether the balancer
-    /// wants the endpoint list to be watched.
+    /// Creates a driver that has handled no event. On `watch_request_sender`, it sends `true` when the
+    /// balancer starts the watch of the endpoint list and `false` when the balancer stops the watch.
     pub fn new(
         balancer: Balancer,
         guard: InvariantGuard,
         upstream: Rc<Upstream>,
         peers: Option<Rc<PeerSocket>>,
-        watch_requests: mpsc::UnboundedSender<bool>,
+        watch_request_sender: mpsc::UnboundedSender<bool>,
     ) -> Rc<Driver> {
         let counters = Rc::new(Counters::default());
         Rc::new(Driver {
@@ -92,7 +92,7 @@
             counters,
             upstream,
             peers,
-            watch_requests,
+            watch_request_sender,
             next_request_id: Cell::new(0),
             list_is_usable: Cell::new(false),
         })
@@ -217,7 +217,7 @@
                 }
             }
             // The send fails if the watch has ended, as at the end of the process.
-            Action::SetWatch(should_watch) => drop(self.watch_requests.send(should_watch)),
+            Action::SetWatch(should_watch) => drop(self.watch_request_sender.send(should_watch)),
             Action::Log(event) => log::line(&event.to_string()),
         }
     }
