--- a/src/node/system/length_headers.rs
+++ b/src/node/system/length_headers.rs
@@ -14,7 +14,9 @@
     count: u64,
     /// Length of the current line so far, without its line break.
     line_bytes: usize,
-    /// Whether the current line so far matches the start of [`CONTENT_LENGTH`], or begins with all of it.
+    /// Whether each byte of the current line so far matches the byte of [`CONTENT_LENGTH`] at the same
+    /// position. Bytes beyond the length of [`CONTENT_LENGTH`] are not compared. Without meaning while the
+    /// line is empty.
     line_matches: bool,
     /// Whether the head has a line that is not empty. After that, an empty line ends the head.
     has_line: bool,
