--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -22,7 +22,8 @@
 pub struct PeerAddresses {
     /// Addresses of all nodes, by node index. Includes this node.
     pub nodes: Vec<SocketAddr>,
-    /// An address that reaches all nodes at once; `None` if the network has none.
+    /// The address of a datagram to all nodes at once; `None` if the network has no such address. The network
+    /// may also deliver the datagram to the node that sent it, which does not ignore it.
     pub broadcast: Option<SocketAddr>,
     /// Index of this node in `nodes`.
     pub own_index: u32,
@@ -38,8 +39,11 @@
         others.map(|(_, address)| address).collect()
     }
 
-    /// Returns the addresses to send a message to: that of the node with index `to` if the tier has it,
-    /// or the broadcast address or those of all other nodes if `to` is `None`.
+    /// Returns the addresses to send a message to.
+    ///
+    /// If `to` is the index of a node, this is the address of that node; there is none if the tier has no
+    /// such node. If `to` is `None`, it is the broadcast address or, without one, the addresses of all other
+    /// nodes.
     fn recipients(&self, to: Option<u32>) -> Vec<SocketAddr> {
         match (to, self.broadcast) {
             (Some(index), _) => self.nodes.get(index as usize).copied().into_iter().collect(),
@@ -84,9 +88,9 @@
         Ok(PeerSocket { socket: UdpSocket::from_std(socket.into())?, addresses })
     }
 
-    /// Sends a message to the node with index `to`, or to all other nodes if `to` is `None`. A message
-    /// that cannot be sent is lost without an error; the caller must not rely on the arrival of any
-    /// message.
+    /// Sends a message to the node with index `to`, or to all other nodes if `to` is `None`. If the message
+    /// is broadcast, this node may receive it, too. A message that cannot be sent is lost without an error;
+    /// the caller must not rely on the arrival of any message.
     pub fn send(&self, to: Option<u32>, bytes: &[u8]) {
         if bytes.len() > MAX_MESSAGE_BYTES {
             log::line(&format!(
@@ -100,8 +104,8 @@
         }
     }
 
-    /// Waits for the next message from a node of the tier. Ignores datagrams from other senders, and
-    /// those above the size limit.
+    /// Waits for the next message from a node of the tier, which may be this node. Ignores datagrams from
+    /// other senders, and those above the size limit.
     pub async fn receive(&self) -> PeerMessage {
         let mut buffer = [0_u8; MAX_MESSAGE_BYTES + 1];
         loop {
