--- a/src/node/system/socket.rs
+++ b/src/node/system/socket.rs
@@ -13,8 +13,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Maximum number of unsent bytes of a streamed response in the system's send buffer. At 64 kB per second,
-/// the rate of the slowest legitimate clients, a client receives as many in two seconds.
+/// Maximum number of unsent bytes of a streamed response in the system's send buffer. The slowest legitimate
+/// clients receive 64 kB per second, so it takes them two seconds to receive this many bytes.
 const MAX_UNSENT_BYTES: u32 = 128 * 1024;
 
 struct Inner {
@@ -23,7 +23,8 @@
     bytes_written: Cell<u64>,
     /// When the first byte of the current head was read; `None` if none of it has been read.
     head_started_at: Cell<Option<Instant>>,
-    /// `None` until [`Socket::expect_head`] is called, so for connections that receive no requests.
+    /// `None` until the first call of [`Socket::expect_head`]. On connections other than those of clients,
+    /// that method is never called, and Content-Length lines are not counted.
     length_headers: Cell<Option<LengthHeaderCounter>>,
     _permit: DescriptorPermit,
 }
@@ -111,10 +112,11 @@
         let _ = socket2::SockRef::from(&self.0.stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES);
     }
 
-    /// Has the connection reset when the socket is closed, so that the peer does not take the close for the
-    /// regular end of a response.
+    /// Sets the socket option with which closing the socket resets the connection, so that the peer does not
+    /// take the close for the regular end of a response.
     pub fn reset_on_close(&self) {
-        // If this fails, the peer still has an incomplete response.
+        // If this fails, the close is a regular one. An HTTP/1.1 peer can still detect that the response is
+        // shorter than its Content-Length or lacks its last chunk.
         let _ = socket2::SockRef::from(&self.0.stream).set_linger(Some(Duration::ZERO));
     }
 
