--- a/src/node/system/acceptor.rs
+++ b/src/node/system/acceptor.rs
@@ -26,9 +26,10 @@
     has_accepted: Cell<bool>,
     /// Whether the accept queue has been found empty since the last connection was accepted.
     was_empty: Cell<bool>,
-    /// Since when the accept queue may have been non-empty; `None` if connections may have waited since
-    /// before this process started.
-    filled_since: Cell<Option<Instant>>,
+    /// When the accept queue was last known to be empty: the connection that was accepted last arrived after
+    /// this time, apart from a delay of the event loop. `None` if the queue is not known to have been empty
+    /// since this process started.
+    last_known_empty_at: Cell<Option<Instant>>,
 }
 
 /// Why no connection was accepted.
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Returns a short text for the log, under which failures are counted.
+    /// Returns a short text for the log, which counts failures by this text.
     pub fn text(&self) -> &'static str {
         match self {
             AcceptError::ConnectionClosed => "closed before it was accepted",
@@ -66,26 +67,28 @@
 }
 
 impl Acceptor {
-    /// Creates an acceptor. `listening_since` is when this process began to listen; `None` if it inherited
-    /// the socket, on which connections may have waited before.
+    /// Creates an acceptor. `listening_since` is when this process began to listen, with an empty accept
+    /// queue. It is `None` if the process inherited the socket, because connections may already wait in the
+    /// queue.
     pub fn new(listener: TcpListener, listening_since: Option<Instant>) -> Acceptor {
         Acceptor {
             listener,
             consecutive_failures: Cell::new(0),
             has_accepted: Cell::new(false),
             was_empty: Cell::new(false),
-            filled_since: Cell::new(listening_since),
+            last_known_empty_at: Cell::new(listening_since),
         }
     }
 
     /// Returns the longest time that the connection that was accepted last can have waited in the accept
     /// queue, or `None` if that is unknown.
     pub fn max_queue_wait(&self) -> Option<Duration> {
-        self.filled_since.get().map(|since| since.elapsed())
+        self.last_known_empty_at.get().map(|empty_at| empty_at.elapsed())
     }
 
-    /// Accepts the next connection. If that had to wait for one, the accept queue was empty until now, and
-    /// `filled_since` is updated.
+    /// Accepts the next connection. If the accept queue was empty and this call had to wait for the
+    /// connection, sets `last_known_empty_at` to the time of the accept: a delay of the event loop between
+    /// the arrival and the accept does not count as a wait in the queue.
     async fn accept_and_track_queue(&self) -> io::Result<TcpStream> {
         poll_fn(|cx| {
             let accepted = self.listener.poll_accept(cx);
@@ -93,7 +96,9 @@
                 // Before the first connection, this result does not prove an empty queue: the poller may
                 // not have asked the system yet.
                 Poll::Pending => self.was_empty.set(self.has_accepted.get()),
-                Poll::Ready(_) if self.was_empty.take() => self.filled_since.set(Some(Instant::now())),
+                Poll::Ready(_) if self.was_empty.take() => {
+                    self.last_known_empty_at.set(Some(Instant::now()))
+                }
                 Poll::Ready(_) => {}
             }
             accepted
