--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -1,8 +1,8 @@
 //! Starts the node: opens its sockets, creates its parts and connects them. After SIGTERM, stops them in an
 //! order that lets every accepted request get a response.
 //!
-//! Another process of the same node may run in parallel, if the platform holds the listening socket. The two
-//! share the limits of the configuration and hand over their state through [`Takeover`].
+//! If the platform opens the listening socket and passes it to the processes of the node, two of them may run
+//! in parallel. The two share the limits of the configuration and hand over their state through [`Takeover`].
 
 use crate::admin::{self, AdminServer};
 use crate::config::{Config, ConfigError};
@@ -48,13 +48,14 @@
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
 /// The interval at which the node sweeps idle connections to endpoints and observes the wall clock.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// The upper bound of the longest class deadline for the shutdown, in milliseconds. SIGKILL follows SIGTERM
-/// after the longest class deadline, at most this, plus 0.7 s.
+/// The longest class deadline, limited to this value, determines how long the shutdown may take, in
+/// milliseconds. SIGKILL follows SIGTERM after the limited deadline and a further 0.7 s.
 const MAX_SHUTDOWN_DEADLINE_MS: f64 = 3000.0;
-/// The time beyond the longest deadline for which the node waits for responses after SIGTERM. Then it fails
-/// the requests that are still open, because SIGKILL is near.
+/// After SIGTERM, the node waits for responses until the longest class deadline and then this time have
+/// passed. Then it fails the requests that are still open, because SIGKILL is near.
 const SHUTDOWN_ANSWER_TIME: Duration = Duration::from_millis(400);
-/// The time for which the shutdown waits until the responses to the requests that it has failed are written.
+/// After the shutdown has failed the open requests, it waits for at most this time until their responses are
+/// written.
 const SHUTDOWN_WRITE_TIME: Duration = Duration::from_millis(100);
 
 /// A failure to start the node.
@@ -84,7 +85,7 @@
 struct Sockets {
     clients: TcpListener,
     /// When this process began to listen for clients. `None` if it inherited the socket: connections may have
-    /// waited there before the process started.
+    /// waited in its accept queue before the process started.
     listening_since: Option<Instant>,
     /// `None` if the configuration has no address for operators.
     admin: Option<TcpListener>,
@@ -111,7 +112,7 @@
     let mut terminate = retry_transient(SignalReceiver::sigterm).await.map_err(StartupError::Signals)?;
     let hangup = retry_transient(SignalReceiver::sighup).await.map_err(StartupError::Signals)?;
     let config = Config::load()?;
-    // If the platform holds the listening socket, another process may serve on it in parallel.
+    // Another process of the node may serve on an inherited socket in parallel.
     let is_listener_shared = inherited_listener.is_some();
     let sockets = open_sockets(&config, inherited_listener).await?;
     let resources = divide_resources(&config, is_listener_shared);
@@ -169,10 +170,12 @@
 fn divide_resources(config: &Config, is_listener_shared: bool) -> Resources {
     let processes = if is_listener_shared { 2 } else { 1 };
     let memory = config.memory_bytes / processes;
-    // With a limit above that of the system, clients could take the last descriptors from all other uses.
+    // If the configured limit were above the system's, clients could use up all descriptors that the system
+    // allows, and none would be left for other uses.
     let system_limit = descriptors::system_limit().unwrap_or(usize::MAX);
     let max_descriptors = (config.max_descriptors / processes).min(system_limit);
-    // These descriptors are reserved so that operators can connect however many clients are connected.
+    // These descriptors are reserved for operators, who can then always connect, regardless of the number of
+    // clients.
     let admin_descriptors = if config.admin_listen.is_some() { admin::MAX_CONNECTIONS + 1 } else { 0 };
     Resources {
         descriptors: Descriptors::new(max_descriptors.saturating_sub(admin_descriptors)),
@@ -258,12 +261,14 @@
     async fn stop(self, longest_deadline: Duration) {
         let Node { driver, frontend, takeover, accept_task } = self;
         let has_successor = takeover.is_some_and(|takeover| takeover.has_successor());
-        let new_connections = if has_successor {
+        let new_connections_text = if has_successor {
             "a successor takes new connections"
         } else {
             "accepting connections that still arrive"
         };
-        log::line(&format!("told to stop: {new_connections}; answering open requests before the exit"));
+        log::line(&format!(
+            "SIGTERM received: {new_connections_text}; answering open requests before the exit"
+        ));
         let answer_deadline = Instant::now() + longest_deadline + SHUTDOWN_ANSWER_TIME;
         frontend.stop(has_successor);
         // Even if the accept loop has failed or has not ended in time, accepted requests must be answered.
@@ -335,8 +340,9 @@
     }
 }
 
-/// Closes connections to endpoints that have been idle for too long or that their endpoint has closed, and
-/// observes the wall clock, both every [`SWEEP_INTERVAL`].
+/// Every [`SWEEP_INTERVAL`], closes the connections to endpoints that can no longer be reused, and observes
+/// the wall clock. A connection can no longer be reused after it has been idle for too long, or after its
+/// endpoint has closed it.
 async fn sweep(upstream: Rc<Upstream>, driver: Rc<Driver>) {
     let mut ticks = tokio::time::interval(SWEEP_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
