--- a/src/node/frontend/client_connection.rs
+++ b/src/node/frontend/client_connection.rs
@@ -65,7 +65,7 @@
     pub is_closing: Cell<bool>,
     /// The number of requests in which hyper reported a Content-Length header.
     reported_content_lengths: Cell<u64>,
-    /// Whether a streamed response is being sent.
+    /// Whether a streamed response is being sent to the client.
     pub is_streaming_response: Cell<bool>,
     write_progress: Cell<WriteProgress>,
     /// The trace id of the last request, for the log.
@@ -110,18 +110,18 @@
         }
     }
 
-    /// Whether the client has sent a complete request head on this connection.
+    /// Returns whether the client has sent a complete request head on this connection.
     pub fn has_sent_request(&self) -> bool {
         self.has_sent_request.get()
     }
 
-    /// Whether the connection is in the state [`ConnectionState::Closing`].
+    /// Returns whether the connection is in the state [`ConnectionState::Closing`].
     pub fn is_closing(&self) -> bool {
         self.is_closing.get()
     }
 
-    /// Whether bytes have been read since the connection became idle. As long as no request is in progress,
-    /// they are part of an incomplete request head.
+    /// Returns whether bytes have been read since the connection became idle. As long as no request is in
+    /// progress, they are part of an incomplete request head.
     pub fn has_partial_request(&self) -> bool {
         self.socket.bytes_read() != self.bytes_read_when_idle.get()
     }
@@ -149,13 +149,13 @@
         }
     }
 
-    /// Whether no request is in progress and no complete request head has arrived in time.
+    /// Returns whether no request is in progress and no complete request head has arrived in time.
     pub fn head_timeout_elapsed(&self) -> bool {
         self.requests_in_progress.get() == 0 && self.head_deadline() <= Instant::now()
     }
 
-    /// Whether the client has read nothing of a streamed response for [`RESPONSE_STALL_TIMEOUT`]. Each call
-    /// updates the progress on which the next one is based.
+    /// Returns whether the client has read nothing of a streamed response for [`RESPONSE_STALL_TIMEOUT`].
+    /// Each call records the progress, with which the next call compares.
     pub fn response_stalled(&self) -> bool {
         let progress = self.write_progress.get();
         if !self.is_streaming_response.get() || progress.written_bytes != self.socket.bytes_written() {
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Whether the node may close a connection for this reason only if no request is in progress on it.
+    /// Returns whether the node may close a connection for this reason only if no request is in progress on
+    /// it.
     fn requires_no_request(self) -> bool {
         matches!(self, CloseReason::IdleTimeout | CloseReason::HeadTimeout | CloseReason::Evicted)
     }
--- a/src/node/frontend/eviction.rs
+++ b/src/node/frontend/eviction.rs
@@ -40,8 +40,8 @@
 }
 
 impl ClientConnection {
-    /// Whether the connection may be closed now: it is in the state [`ConnectionState::Closing`], or no
-    /// request is in progress, none is expected to arrive soon, and the system has no unread bytes of one.
+    /// Returns whether the connection may be closed now: it is in the state [`ConnectionState::Closing`], or
+    /// no request is in progress, none is expected to arrive soon, and the system has no unread bytes of one.
     pub fn may_close(&self) -> bool {
         match self.state() {
             ConnectionState::Serving => false,
--- a/src/node/frontend/listener.rs
+++ b/src/node/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections until the node was told to stop and no further connections arrive.
+//! Accepts clients' connections until the node has received SIGTERM and no further connections arrive.
 
 use super::Frontend;
 use super::shutdown::AcceptWindow;
@@ -15,15 +15,15 @@
 /// An event that the accept loop waits for.
 enum AcceptEvent {
     Accepted(Result<TcpStream, AcceptError>),
-    /// The node was told to stop, so the accept window has to be determined again.
+    /// The node has received SIGTERM, so the accept window has to be determined again.
     StopRequested,
     /// The accept window has closed and the accept queue has been emptied.
     Finished,
 }
 
 impl Frontend {
-    /// Accepts connections until the node is told to stop, and then until the accept window has closed and
-    /// the accept queue is empty. If another process has taken over when the node is told to stop, this one
+    /// Accepts connections until the node receives SIGTERM, and then until the accept window has closed and
+    /// the accept queue is empty. If another process has taken over when the node receives SIGTERM, this one
     /// leaves all further connections to that process.
     pub async fn accept(self: &Rc<Self>, acceptor: Acceptor) {
         let mut last_accepted_at = Instant::now();
--- a/src/node/frontend/mod.rs
+++ b/src/node/frontend/mod.rs
@@ -56,13 +56,13 @@
     rejections_logged_at: Cell<Option<Instant>>,
     /// The readiness that was logged last. `None` if none was logged yet.
     logged_readiness: Cell<Option<Result<(), NotReady>>>,
-    /// When the process was told to stop. `None` if it was not.
+    /// When the process received SIGTERM. `None` if it has not received it.
     stopping_since: Cell<Option<Instant>>,
-    /// Whether another process accepts the new connections. Set when this process is told to stop.
+    /// Whether another process accepts the new connections. Set when this process receives SIGTERM.
     has_successor: Cell<bool>,
     /// When operators drained the node. `None` if it is not drained.
     drained_since: Cell<Option<Instant>>,
-    /// Notifies the accept loop that the process was told to stop.
+    /// Notifies the accept loop that the process has received SIGTERM.
     stop_requested: Notify,
     /// Notifies [`Frontend::wind_down`] that a connection was closed.
     client_closed: Notify,
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Whether too many clients keep their connections alive. If so, each response closes its connection, so
-    /// that there are descriptors for new clients.
+    /// Returns whether too many clients keep their connections alive. If so, each response closes its
+    /// connection, so that there are descriptors for new clients.
     fn exceeds_keep_alive_limit(&self) -> bool {
         let is_kept_alive =
             |client: &&Rc<ClientConnection>| client.has_sent_request() && !client.is_closing();
--- a/src/node/frontend/readiness.rs
+++ b/src/node/frontend/readiness.rs
@@ -20,7 +20,7 @@
 /// The reason why the node accepts no clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotReady {
-    /// The process was told to stop by SIGTERM.
+    /// The process has received SIGTERM.
     Stopping,
     /// Operators have drained the node.
     Drained,
@@ -39,10 +39,10 @@
     }
 }
 
-/// A `drain` or `resume` command that came after the process was told to stop. The process stops regardless
-/// of it.
+/// The error of a `drain` or `resume` command that arrives after SIGTERM. The process stops regardless of the
+/// command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("this process has been told to stop")]
+#[error("this process has received SIGTERM")]
 pub struct Stopping;
 
 /// The effect of a `drain` command.
@@ -96,7 +96,7 @@
     /// and idle connections are closed after a grace period.
     ///
     /// # Errors
-    /// The process was told to stop.
+    /// The process has received SIGTERM.
     pub fn drain(self: &Rc<Self>) -> Result<DrainChange, Stopping> {
         if self.stopping_since.get().is_some() {
             return Err(Stopping);
@@ -122,7 +122,7 @@
     /// Ends a drain, so that the node accepts clients again.
     ///
     /// # Errors
-    /// The process was told to stop.
+    /// The process has received SIGTERM.
     pub fn resume(&self) -> Result<ResumeChange, Stopping> {
         let was_drained = self.drained_since.take().is_some();
         if self.stopping_since.get().is_some() {
--- a/src/node/frontend/responses.rs
+++ b/src/node/frontend/responses.rs
@@ -26,7 +26,7 @@
     response
 }
 
-/// Adds the header that has the connection closed after the response.
+/// Adds the header `Connection: close`. hyper then closes the connection after the response.
 pub(super) fn set_closing(response: &mut ClientResponse) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/src/node/frontend/shutdown.rs
+++ b/src/node/frontend/shutdown.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether the node sends its clients away.
+    /// Returns whether the node sends its clients away, because it is stopping or drained.
     pub(super) fn is_stopping_or_drained(&self) -> bool {
         self.stopping_since.get().is_some() || self.drained_since.get().is_some()
     }
