--- a/src/node/frontend/client_connection.rs
+++ b/src/node/frontend/client_connection.rs
@@ -13,8 +13,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// The time allowed for a complete request head, counted from its first byte, or from the accept or the end
-/// of the last response as long as no byte has arrived. After this time the connection is closed.
+/// The time allowed for a complete request head, after which the connection is closed. The time counts from
+/// the first byte of the head. As long as no byte has arrived, it counts from the end of the last response
+/// or, before the first request, from the accept.
 pub(super) const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
 /// The time allowed for the first complete request head, counted from the accept. A client that never sends
 /// a complete head has to be disconnected within 3 s of connecting.
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -26,8 +26,9 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// The minimum time between two checks of a connection's timeouts. The checks follow at this interval when
-/// the deadline of the head has passed but the connection stays open, as with a request in progress.
+/// The minimum time between two checks of a connection's timeouts. The checks are made at this interval while
+/// the deadline of the head has passed but the connection stays open, for example because a request is in
+/// progress.
 const MIN_TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The maximum time of a lingering close, in which the node reads and discards the rest that the client
 /// sends. Closing a socket with unread bytes resets the connection, and the client would lose a response in
--- a/src/node/frontend/eviction.rs
+++ b/src/node/frontend/eviction.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Asks for the close of all connections that may be closed, and leaves out those with a partial request
-    /// unless `include_partial_requests` is true.
+    /// Asks for the close of all connections that may be closed. Connections with a partial request are
+    /// included only if `include_partial_requests` is true.
     pub(super) fn close_idle(&self, include_partial_requests: bool) {
         let clients = self.clients.borrow();
         let closable = clients.values().filter(|client| {
--- a/src/node/frontend/mod.rs
+++ b/src/node/frontend/mod.rs
@@ -1,7 +1,7 @@
 //! Serves clients: accepts their connections, reads their requests and sends the responses.
 //!
-//! Clients may be slow, silent or faulty, and each holds a descriptor meanwhile, of which there are few.
-//! Every accepted request must be answered before the process ends.
+//! Clients may be slow, silent or faulty, and each of them uses a descriptor for as long as it is connected.
+//! Descriptors are few. Every accepted request must be answered before the process ends.
 //!
 //! [`listener`] accepts connections. [`connection`] serves one connection and closes it;
 //! [`client_connection`] tracks its state. [`eviction`] chooses which connection is closed if there is no
@@ -71,7 +71,7 @@
 impl Frontend {
     /// Creates a frontend without clients, and lets `descriptors` evict them.
     ///
-    /// `max_open_requests` is the number of requests in progress from which on the node rejects further ones.
+    /// `max_open_requests` is the maximum number of requests in progress; the node rejects further ones.
     /// `max_buffer_bytes` is the maximum size of a connection's buffer.
     pub fn new(
         driver: Rc<Driver>,
--- a/src/node/frontend/shutdown.rs
+++ b/src/node/frontend/shutdown.rs
@@ -36,7 +36,7 @@
 }
 
 impl AcceptWindow {
-    /// Waits until the window closes, forever if its end is not known.
+    /// Waits until the window closes. Never returns if the end of the window is not known.
     pub async fn closed(self) {
         match self.closes_at {
             Some(at) => tokio::time::sleep_until(at.into()).await,
