--- a/src/node/discovery/client.rs
+++ b/src/node/discovery/client.rs
@@ -52,7 +52,7 @@
 const PUSH_REPEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// Number of checks that are made in parallel to a watch without updates, before the watch is renewed.
 const CHECKS_PER_WATCH: u32 = 2;
-/// A failed check is repeated after the check interval divided by this number, which is about 0.5 s.
+/// A failed check is repeated after a pause of about 0.5 s: the check interval divided by this number.
 const FAILED_CHECK_RETRY_DIVISOR: u32 = 32;
 /// Maximum size of a connection's buffer, in bytes.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
--- a/src/node/observability/log.rs
+++ b/src/node/observability/log.rs
@@ -1,9 +1,9 @@
 //! Writes log lines to standard error, at a bounded rate.
 //!
 //! The event loop waits while a line is written, so lines must be few. There are lines about the node, and
-//! one line for each request that was not simply served by its first attempt; that line is the request's
-//! trace. Each of the two kinds has a limit per second. `LB_TRACE=all` logs the trace of every request, up
-//! to a higher limit.
+//! traces of requests, one line each. The trace of a request that was served by its first attempt, without
+//! any other event, is not logged. Each of the two kinds has a limit per second. `LB_TRACE=all` logs the
+//! trace of every request, up to a higher limit.
 //!
 //! A reader that does not read the log must neither stop nor delay the node. A line that cannot be written
 //! at once is therefore dropped and counted.
--- a/src/node/system/acceptor.rs
+++ b/src/node/system/acceptor.rs
@@ -110,7 +110,7 @@
     /// Waits for the next connection. Cancelling this future loses no connection.
     ///
     /// # Errors
-    /// The accept failed; the caller calls [`Acceptor::recover`] before the next one.
+    /// The accept failed; the caller must call [`Acceptor::recover`] before the next one.
     pub async fn accept(&self) -> Result<TcpStream, AcceptError> {
         loop {
             match self.accept_and_track_queue().await {
--- a/src/node/system/socket.rs
+++ b/src/node/system/socket.rs
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Reads and discards up to `max_bytes`, rounded up to a whole read, until the peer closes the
-    /// connection or an error occurs.
+    /// Reads and discards bytes until the peer closes the connection, an error occurs, or `max_bytes` have
+    /// been discarded. The last read may exceed `max_bytes`.
     pub async fn discard(&self, mut max_bytes: usize) {
         let mut discarded = [0; 4096];
         while max_bytes > 0 && self.0.stream.readable().await.is_ok() {
