--- a/fault-soak/src/main.rs
+++ b/fault-soak/src/main.rs
@@ -54,7 +54,7 @@
     /// Plays the schedule in this file instead of the one of the seed.
     #[arg(long)]
     schedule: Option<PathBuf>,
-    /// If a seed fails, removes faults for as long as the run still fails, and prints the remaining
+    /// If a seed fails, removes the faults without which the run still fails, and prints the remaining
     /// schedule.
     #[arg(long)]
     shorten: bool,
--- a/fault-soak/src/oracle/mod.rs
+++ b/fault-soak/src/oracle/mod.rs
@@ -11,8 +11,7 @@
 use crate::record::{ClientRequest, Record, Rule, ServerAttempt, ServerChangeRecord};
 use std::collections::HashMap;
 
-/// The longest time that the fault injection suspends a process between a read of its clock and the write
-/// that follows.
+/// The longest time by which the fault injection delays a write after the process has read its clock.
 const HELD_WRITE_SLACK_SECONDS: f64 = 0.15;
 /// The delay that loopback and the scheduling of this program add to an observed time.
 const LOOPBACK_SLACK_SECONDS: f64 = 0.05;
@@ -64,7 +63,7 @@
     by_request
 }
 
-/// The observations of one finished run, which the rules are methods of.
+/// The observations of one finished run. Each rule is a method.
 struct Checker<'a> {
     record: &'a Record,
     requests: &'a HashMap<u64, ClientRequest>,
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -31,7 +31,7 @@
 const MAX_STALL_SECONDS: f64 = 0.3;
 /// The time between two measurements of the stalls of this program.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a process is suspended in a write by [`crate::schedule::Fault::HeldWrites`].
+/// How long [`crate::schedule::Fault::HeldWrites`] delays a write.
 const HELD_WRITE_MS: i64 = 150;
 /// How many bytes a shortened read or write transfers.
 const SHORT_IO_BYTES: i64 = 7;
--- a/fault-soak/src/schedule.rs
+++ b/fault-soak/src/schedule.rs
@@ -23,10 +23,11 @@
     /// Kills a node with SIGKILL, and starts a new process after `down_ms`.
     #[serde(rename = "kill")]
     KillNode { node: usize, down_ms: u64 },
-    /// Kills the first `percent` of the nodes at once, and starts new processes after `down_ms`.
+    /// Kills the first `percent` percent of the nodes at once, and starts new processes after `down_ms`.
     #[serde(rename = "herd")]
     KillManyNodes { percent: usize, down_ms: u64 },
-    /// Replaces half of the servers; the replacements begin one after another, within `for_ms`.
+    /// Replaces half of the servers, each as [`Fault::ReplaceServer`] does. The replacements begin one after
+    /// another, spread evenly over the first half of `for_ms`.
     #[serde(rename = "release")]
     RollingReplacement { for_ms: u64 },
     /// A client writes `count` requests at once on one connection.
@@ -49,10 +50,12 @@
     /// Discovery lists a server as draining, and then as up again.
     #[serde(rename = "drain")]
     DrainServer { server: usize, for_ms: u64 },
-    /// Discovery removes a server, which stops a while later, and then lists it again, in slow start.
+    /// Discovery removes a server from its list. The server stops a while later, restarts `for_ms` after it
+    /// stopped, and is listed again, in slow start.
     #[serde(rename = "replace")]
     ReplaceServer { server: usize, for_ms: u64 },
-    /// A server crashes and restarts in slow start; discovery removes it only some time after the crash.
+    /// A server crashes, and discovery removes it from its list only some time later. The server restarts
+    /// `for_ms` after the removal, in slow start.
     #[serde(rename = "crash")]
     CrashServer { server: usize, for_ms: u64 },
     /// A server does not respond to the requests that it receives.
@@ -85,7 +88,7 @@
     /// Discovery restarts the numbering of its versions at a lower number.
     #[serde(rename = "count-anew")]
     RestartVersions,
-    /// Clients shorten the pauses between their requests, so that half as many requests again arrive.
+    /// Clients shorten the pauses between their requests, so that up to two thirds more requests arrive.
     #[serde(rename = "burst")]
     LoadBurst { for_ms: u64 },
     /// Many clients close their connections before the response.
@@ -105,7 +108,8 @@
     /// The system calls `accept`, `socket` and `connect` fail.
     #[serde(rename = "local-failures")]
     SocketFailures { node: usize, one_in: i64, for_ms: u64 },
-    /// The process is suspended between a read of its clock and the write that follows.
+    /// Writes to sockets are delayed, as if the process had been suspended between a read of its clock and
+    /// the write that follows.
     #[serde(rename = "slow-writes")]
     HeldWrites { node: usize, one_in: i64, for_ms: u64 },
     /// Writes, syncs and renames of files fail.
