--- a/fault-soak/src/server.rs
+++ b/fault-soak/src/server.rs
@@ -37,7 +37,7 @@
     Rejecting,
     /// Takes five times as long as usual.
     Slow,
-    /// Garbles or truncates half of the responses, and closes the connection.
+    /// Garbles or truncates half of the responses, and closes the connection after each of them.
     Corrupting,
 }
 
@@ -125,13 +125,13 @@
             let rejected = mode == ServerMode::Rejecting
                 || self.in_flight.load(Ordering::SeqCst) as usize >= MAX_IN_FLIGHT;
             self.record_attempt(id, first_byte_at, &message, rejected);
-            let Some(reply) = self.reply(id, mode, rejected).await else {
+            let Some(response) = self.respond(id, mode, rejected).await else {
                 // Keeps the connection open until the node closes it.
                 let _ = Message::read(&mut reader, || {}).await;
                 return;
             };
-            let keeps_connection = reply.keeps_connection;
-            let _ = writer.write_all(&reply.bytes).await;
+            let keeps_connection = response.keeps_connection;
+            let _ = writer.write_all(&response.bytes).await;
             if !keeps_connection {
                 return;
             }
@@ -150,10 +150,11 @@
         });
     }
 
-    /// Runs a request, unless it is rejected or fails. Returns `None` if the server does not respond.
-    async fn reply(&self, id: u64, mode: ServerMode, rejected: bool) -> Option<Reply> {
+    /// Runs a request, unless it is rejected or the mode prevents it, and returns the response. Returns `None`
+    /// if the server does not respond.
+    async fn respond(&self, id: u64, mode: ServerMode, rejected: bool) -> Option<ServerResponse> {
         if rejected {
-            return Some(Reply::keep_alive(response_bytes(
+            return Some(ServerResponse::keep_alive(response_bytes(
                 "503 Service Unavailable",
                 "X-Never-Ran: 1\r\n",
                 b"full",
@@ -164,7 +165,11 @@
         }
         let response_number = self.next_response_number.fetch_add(1, Ordering::SeqCst);
         if mode == ServerMode::Failing && !response_number.is_multiple_of(3) {
-            return Some(Reply::keep_alive(response_bytes("500 Internal Server Error", "", b"error")));
+            return Some(ServerResponse::keep_alive(response_bytes(
+                "500 Internal Server Error",
+                "",
+                b"error",
+            )));
         }
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         let core = self.cores.acquire().await;
@@ -182,9 +187,9 @@
                 1 => bytes.truncate(20),
                 _ => bytes[0] = b'?',
             }
-            return Some(Reply { bytes, keeps_connection: false });
+            return Some(ServerResponse { bytes, keeps_connection: false });
         }
-        Some(Reply { bytes, keeps_connection: framing != Framing::UntilClose })
+        Some(ServerResponse { bytes, keeps_connection: framing != Framing::UntilClose })
     }
 }
 
@@ -229,16 +234,16 @@
     }
 }
 
-/// The bytes to write to a connection in reply to a request.
-struct Reply {
+/// A response to one request, as it is written to the connection.
+struct ServerResponse {
     bytes: Vec<u8>,
     /// Whether the connection stays open for another request.
     keeps_connection: bool,
 }
 
-impl Reply {
-    fn keep_alive(bytes: Vec<u8>) -> Reply {
-        Reply { bytes, keeps_connection: true }
+impl ServerResponse {
+    fn keep_alive(bytes: Vec<u8>) -> ServerResponse {
+        ServerResponse { bytes, keeps_connection: true }
     }
 }
 
