--- a/fault-soak/src/fault_injection.rs
+++ b/fault-soak/src/fault_injection.rs
@@ -237,7 +237,7 @@
     /// command until the node acknowledges it.
     async fn disable_server(&self, node: usize, server: usize, duration: Duration) {
         let name = server_name(server);
-        let is_done = |reply: Option<String>| reply.is_some_and(|reply| reply.starts_with("done"));
+        let is_done = |answer: Option<String>| answer.is_some_and(|answer| answer.starts_with("done"));
         if !is_done(self.nodes[node].admin_command(&format!("disable-server {name}")).await) {
             return;
         }
@@ -245,7 +245,7 @@
             return;
         }
         tokio::time::sleep(duration).await;
-        // The node may use the server again as soon as it receives the command, even if its reply is lost.
+        // The node may use the server again as soon as it receives the command, even if its answer is lost.
         self.end_disabled_period(node, server);
         while !is_done(self.nodes[node].admin_command(&format!("enable-server {name}")).await) {
             tokio::time::sleep(COMMAND_RETRY_DELAY).await;
--- a/fault-soak/src/node.rs
+++ b/fault-soak/src/node.rs
@@ -30,13 +30,13 @@
 /// The time that a process has to exit after SIGTERM before it is killed: the longest deadline of a
 /// request, which is taken to be at least 3 s, plus 0.7 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3700);
-/// How long after the death of a process clients still try to open new connections to the node.
-const REMOVAL_DELAY_AFTER_DEATH: Duration = Duration::from_millis(1000);
-/// The time within which a process must become ready.
+/// How long after a process was killed clients still try to open new connections to the node.
+const REMOVAL_DELAY_AFTER_KILL: Duration = Duration::from_millis(1000);
+/// The time after which a process that is not ready yet is recorded as a violation.
 const READY_TIMEOUT_SECONDS: f64 = 30.0;
 /// How long an upgrade waits for the new process to become ready before it terminates the old one anyway.
 const UPGRADE_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long to wait for the reply to an admin command.
+/// How long to wait for the answer to an admin command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The environment that all nodes of a run share.
@@ -49,13 +49,13 @@
     pub peers: Vec<SocketAddr>,
     /// The settings of the nodes, by node index.
     pub settings: Vec<Value>,
-    /// Lists the servers, and moves to another address when a node is reloaded.
+    /// The discovery service, which lists the servers, and moves to another address when a node is reloaded.
     pub discovery: Arc<Discovery>,
-    /// Must be told which nodes are in rotation.
+    /// The clients, whose list of the nodes in rotation the nodes keep up to date.
     pub clients: Arc<Clients>,
     /// Where the nodes record violations, gaps between processes and ready times.
     pub record: Arc<Record>,
-    /// From which the seeds of the processes are derived.
+    /// The seed of the run, from which the seeds of the processes are derived.
     pub seed: u64,
     /// The number of descriptors that each process may hold.
     pub sockets: usize,
@@ -290,7 +290,7 @@
         self.begin_gap(true);
         let _ = process.child.kill().await;
         tokio::join!(tokio::time::sleep(downtime), async {
-            tokio::time::sleep(REMOVAL_DELAY_AFTER_DEATH.min(downtime)).await;
+            tokio::time::sleep(REMOVAL_DELAY_AFTER_KILL.min(downtime)).await;
             self.set_in_rotation(false);
         });
         self.start().await;
@@ -305,7 +305,7 @@
         }
         let new = self.launch();
         let ready = tokio::time::timeout(UPGRADE_TIMEOUT, async {
-            while !send_command(new.admin, "ready").await.is_some_and(|reply| reply.starts_with("done")) {
+            while !send_command(new.admin, "ready").await.is_some_and(|answer| answer.starts_with("done")) {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         });
@@ -352,7 +352,7 @@
     }
 
     /// Sends an admin command to the process that serves. Returns `None` if there is no process, or it does
-    /// not reply in time.
+    /// not answer in time.
     pub async fn admin_command(&self, line: &str) -> Option<String> {
         let admin = self.process.lock().await.as_ref()?.admin;
         send_command(admin, line).await
@@ -390,14 +390,14 @@
     }
 }
 
-/// Sends an admin command. Returns `None` if there is no complete reply within `COMMAND_TIMEOUT`.
+/// Sends an admin command. Returns `None` if there is no complete answer within `COMMAND_TIMEOUT`.
 async fn send_command(admin: SocketAddr, line: &str) -> Option<String> {
     let exchange = async {
         let mut stream = TcpStream::connect(admin).await.ok()?;
         stream.write_all(format!("{line}\n").as_bytes()).await.ok()?;
-        let mut reply = String::new();
-        stream.read_to_string(&mut reply).await.ok()?;
-        Some(reply)
+        let mut answer = String::new();
+        stream.read_to_string(&mut answer).await.ok()?;
+        Some(answer)
     };
     tokio::time::timeout(COMMAND_TIMEOUT, exchange).await.ok().flatten()
 }
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -75,7 +75,7 @@
     /// The time that the node left the server for a response; `None` if the attempt had no valid header for
     /// it.
     pub timeout_seconds: Option<f64>,
-    /// Whether the server answered that it did not run the request.
+    /// Whether the server responded that it did not run the request.
     pub rejected: bool,
 }
 
@@ -128,7 +128,8 @@
     /// Whether the signal was SIGKILL. The requests that the process held are then lost, and requests that
     /// arrive before the next process is ready may be answered late.
     pub killed: bool,
-    /// When the next process was ready; infinite until then.
+    /// When the next process that was started after the stop was ready; infinite until then. In an upgrade,
+    /// the new process is ready before the old one is stopped, so the gap lasts until a later start.
     pub until: f64,
 }
 
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -12,14 +12,15 @@
 pub enum RequestClass {
     /// Idempotent: may run any number of times.
     View,
-    /// Deduplicated: carries an idempotency key, by which every server drops repeats within
-    /// `DEDUPLICATION_WINDOW`.
+    /// Deduplicated: carries an idempotency key, and may run again within `DEDUPLICATION_WINDOW`.
     Bid,
     /// At most once: must never run twice.
     Order,
 }
 
-/// For how long after a request the servers drop repeats with the same idempotency key.
+/// For how long after a request a repeat with the same idempotency key is harmless. The settings tell the
+/// nodes that all servers drop repeats within this time. The simulated servers run them, and the oracle
+/// reports repeats that arrive later.
 pub const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(2000);
 /// The time within which a node must stop sending requests to a server that is withdrawn.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(750);
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -1,4 +1,5 @@
-//! The oracle reports a violation of each rule, and reports none if a run kept the rules.
+//! The oracle reports a violation of each rule that it checks itself, passes on the violations that the
+//! tasks of the soak observed, and reports none if a run kept the rules.
 use super::*;
 use crate::record::{
     ClientRequest, ClientResponse, ConnectionClose, DisabledPeriod, ServerAttempt, ServerChange,
@@ -9,7 +10,7 @@
 
 const ID: u64 = 7;
 
-/// A request to node 0, sent at 10 s with a timeout of 1 s, and answered by server 3 at 10.3 s.
+/// A request to node 0, sent at 10 s with a timeout of 1 s. The response of server 3 arrives at 10.3 s.
 fn request(class: RequestClass) -> ClientRequest {
     ClientRequest {
         class,
@@ -135,19 +136,28 @@
         timeout_seconds: None,
         ..attempt()
     };
-    let answered = |class| ClientRequest { timeout_seconds: 5.0, ..request(class) };
-    assert_eq!(broken_rules(&record(answered(RequestClass::View), vec![attempt(), repeat_after(0.2)])), []);
-    assert_eq!(broken_rules(&record(answered(RequestClass::Bid), vec![attempt(), repeat_after(1.9)])), []);
+    let long_request = |class| ClientRequest { timeout_seconds: 5.0, ..request(class) };
     assert_eq!(
-        broken_rules(&record(answered(RequestClass::Bid), vec![attempt(), repeat_after(2.2)])),
+        broken_rules(&record(long_request(RequestClass::View), vec![attempt(), repeat_after(0.2)])),
+        []
+    );
+    assert_eq!(
+        broken_rules(&record(long_request(RequestClass::Bid), vec![attempt(), repeat_after(1.9)])),
+        []
+    );
+    assert_eq!(
+        broken_rules(&record(long_request(RequestClass::Bid), vec![attempt(), repeat_after(2.2)])),
         [Rule::DuplicateExecution]
     );
     assert_eq!(
-        broken_rules(&record(answered(RequestClass::Order), vec![attempt(), repeat_after(0.2)])),
+        broken_rules(&record(long_request(RequestClass::Order), vec![attempt(), repeat_after(0.2)])),
         [Rule::DuplicateExecution]
     );
     let rejected = ServerAttempt { rejected: true, ..attempt() };
-    assert_eq!(broken_rules(&record(answered(RequestClass::Order), vec![rejected, repeat_after(0.2)])), []);
+    assert_eq!(
+        broken_rules(&record(long_request(RequestClass::Order), vec![rejected, repeat_after(0.2)])),
+        []
+    );
     let unknown_id = ServerAttempt { id: 8, ..attempt() };
     assert_eq!(
         broken_rules(&record(request(RequestClass::View), vec![attempt(), unknown_id])),
