--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -11,8 +11,8 @@
 use wheelpath::policy::Balancer;
 use wheelpath::policy::*;
 
-/// Time after a request's deadline, in milliseconds, within which its answer still counts as in time. It is
-/// the tolerance of the users' bench.
+/// Time after a request's deadline, in milliseconds, within which its answer still counts as in time. The users'
+/// benchmark has the same tolerance.
 const ANSWER_TOLERANCE_MS: f64 = 20.0;
 
 /// Returns a request class whose late answers have no value.
@@ -28,7 +28,7 @@
     }
 }
 
-/// Returns settings that match no real deployment. The classes cover each kind of idempotency.
+/// Returns settings with arbitrary values. The classes cover each kind of idempotency.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
--- a/tests/node/faults.rs
+++ b/tests/node/faults.rs
@@ -9,9 +9,9 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// One number of the library's control file, in the order of the file. The names with a unit and `Seed` are parameters;
-/// each other one is the rate of a fault: with N one call in N fails, with 0 none. `enum setting` in the library says
-/// which calls fail and how.
+/// One number of the library's control file, in the order of the file. `Seed` and the names with a unit are parameters.
+/// Each other number is the rate of a fault: N affects one call in N, and 0 turns the fault off. `enum setting` in the
+/// library says which calls a fault affects, and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u64)]
 pub enum FaultSetting {
@@ -35,7 +35,7 @@
     DelayedRename,
 }
 
-/// How many numbers the control file holds.
+/// The number of entries in the control file.
 const SETTING_COUNT: usize = FaultSetting::DelayedRename as usize + 1;
 
 /// Builds the library, once for each test binary, and returns its path.
--- a/tests/node/http.rs
+++ b/tests/node/http.rs
@@ -58,13 +58,13 @@
     bytes
 }
 
-/// A request of class `page` (GET), `pay` (POST with an idempotency key) or another one (POST), with an id of its own.
-/// `expires_ms` is the time for which the client still waits for the response.
-pub fn request(class: &str, expires_ms: u64) -> Vec<u8> {
+/// A request with an id of its own: a GET for class `page`, a POST with an idempotency key for class `pay`, and a POST
+/// without one for any other class. `deadline_ms` is the time for which the client still waits for the response.
+pub fn request(class: &str, deadline_ms: u64) -> Vec<u8> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
     let head = format!(
-        "Host: api.internal\r\nX-Trace-Id: {n:016x}\r\nX-Qos: {class}\r\nX-Expires-In-Ms: {expires_ms}\r\nX-Object: o{n}\r\n"
+        "Host: api.internal\r\nX-Trace-Id: {n:016x}\r\nX-Qos: {class}\r\nX-Expires-In-Ms: {deadline_ms}\r\nX-Object: o{n}\r\n"
     );
     match class {
         "page" => format!("GET /api HTTP/1.1\r\n{head}\r\n"),
--- a/tests/node/node_process.rs
+++ b/tests/node/node_process.rs
@@ -75,7 +75,7 @@
         Node::launch_inheriting_with(discovery, listener, state_dir, edit_config, |_| {})
     }
 
-    /// Does the same as `launch_inheriting`; `set_up_command` may change the command before it is started.
+    /// Does the same as `launch_inheriting`, but `set_up_command` can change the command before it is started.
     pub fn launch_inheriting_with(
         discovery: SocketAddr,
         listener: &TcpListener,
@@ -224,7 +224,7 @@
         status.unwrap()
     }
 
-    /// Returns the process's log, all it wrote to standard error. The process must have ended.
+    /// Returns the log of the process, which is all that it wrote to standard error. The process must have ended.
     pub fn log(&mut self) -> String {
         let mut text = String::new();
         self.child.stderr.take().unwrap().read_to_string(&mut text).unwrap();
--- a/tests/node/waiting.rs
+++ b/tests/node/waiting.rs
@@ -7,20 +7,23 @@
 /// take, so that tests pass on a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Waits until `condition` holds, and panics with its description `what` after `WAIT_TIMEOUT`.
-pub fn wait_for(what: &str, condition: impl FnMut() -> bool) {
-    wait_until(Instant::now() + WAIT_TIMEOUT, what, condition);
+/// Waits until `condition` holds. Panics with `description`, which describes the condition, if it does not hold within
+/// `WAIT_TIMEOUT`.
+pub fn wait_for(description: &str, condition: impl FnMut() -> bool) {
+    wait_until(Instant::now() + WAIT_TIMEOUT, description, condition);
 }
 
-/// Waits until `condition` holds, and panics with its description `what` if it does not hold by `deadline`.
-pub fn wait_until(deadline: Instant, what: &str, mut condition: impl FnMut() -> bool) {
+/// Waits until `condition` holds. Panics with `description`, which describes the condition, if it does not hold by
+/// `deadline`.
+pub fn wait_until(deadline: Instant, description: &str, mut condition: impl FnMut() -> bool) {
     while !condition() {
-        assert!(Instant::now() < deadline, "condition not met in time: {what}");
+        assert!(Instant::now() < deadline, "condition not met in time: {description}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Waits for longer than the node keeps a connection to an endpoint unused after a response before it reuses it.
+/// Waits until the node may reuse a connection to an endpoint on which it has just received a response. The node does so
+/// only after the connection has been idle for a short time, which this wait exceeds.
 pub fn wait_until_connection_is_reusable() {
     thread::sleep(Duration::from_millis(50));
 }
