--- a/tests/fleet_slow_start.rs
+++ b/tests/fleet_slow_start.rs
@@ -166,7 +166,7 @@
     settings.overload_multiple * capacity_share * capacity_per_second * settings.overload_window_ms / 1000.0
 }
 
-/// An attempt in flight, and its outcome, which is known when it is sent.
+/// An attempt in flight. Its outcome is determined when it is sent.
 #[derive(Clone, Copy)]
 struct SentAttempt {
     id: RequestId,
@@ -194,7 +194,7 @@
 /// An event that is due at a node.
 struct ScheduledEvent {
     at_ms: f64,
-    /// Number of the event in the order of scheduling, in which events with the same time are handled.
+    /// Number of the event in the order of scheduling. Events with the same time are handled in this order.
     number: u64,
     /// Index of the node; not used by an arrival.
     node: usize,
@@ -224,7 +224,7 @@
 /// The capacity that an endpoint has accumulated and not used.
 #[derive(Default)]
 struct SavedCapacity {
-    /// At `updated_at_ms`.
+    /// The number of requests that the capacity sufficed for at `updated_at_ms`.
     requests: f64,
     updated_at_ms: f64,
 }
@@ -246,18 +246,18 @@
 struct SentToRestarted {
     at_ms: f64,
     /// Whether the node had learned of the restart.
-    is_node_notified: bool,
+    node_notified: bool,
 }
 
 /// The result of a simulation.
 struct Figures {
-    /// Number of requests by which the worst overload window exceeded the limit and the tolerance for chance. Negative
-    /// if no window exceeded them.
-    excess: f64,
-    /// Requests that the restarted endpoint got in the last part of its slow start.
-    restarted: f64,
+    /// Number of requests by which the worst overload window exceeded the limit and the tolerance for random variation.
+    /// Negative if no window exceeded them.
+    excess_requests: f64,
+    /// Number of requests that the restarted endpoint got in the last part of its slow start.
+    restarted_requests: f64,
     /// Mean number of requests that a warm endpoint got in that part.
-    warm: f64,
+    warm_requests: f64,
 }
 
 /// The state of one simulation.
@@ -266,8 +266,8 @@
     settings: Settings,
     rng: fastrand::Rng,
     nodes: Vec<Balancer>,
-    /// For each node whether it has learned of the restart.
-    are_notified: Vec<bool>,
+    /// For each node, whether it has learned of the restart.
+    notified_nodes: Vec<bool>,
     /// Relative share of the traffic that each node gets: at random 0.3 to 1.7.
     traffic_shares: Vec<f64>,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -292,7 +292,7 @@
             settings: fleet.settings(),
             rng: fastrand::Rng::with_seed(seed),
             nodes: Vec::new(),
-            are_notified: vec![false; fleet.nodes as usize],
+            notified_nodes: vec![false; fleet.nodes as usize],
             traffic_shares: Vec::new(),
             queue: BinaryHeap::new(),
             scheduled_count: 0,
@@ -362,7 +362,7 @@
     }
 
     fn apply_list(&mut self, now_ms: f64, node: usize, endpoints: Vec<EndpointUpdate>) {
-        self.are_notified[node] = true;
+        self.notified_nodes[node] = true;
         let update = WatchUpdate::Delta;
         self.feed(now_ms, node, Event::EndpointsChanged { update, endpoints });
     }
@@ -430,34 +430,34 @@
         let sent = SentAttempt { id, attempt, endpoint, outcome, sent_at_ms: now_ms };
         self.schedule(now_ms + duration_ms, node, FleetEvent::AttemptEnd(sent));
         if is_restarted {
-            let is_node_notified = self.are_notified[node];
-            self.sent_to_restarted.push(SentToRestarted { at_ms: now_ms, is_node_notified });
+            let node_notified = self.notified_nodes[node];
+            self.sent_to_restarted.push(SentToRestarted { at_ms: now_ms, node_notified });
         } else if now_ms >= self.end_ms() - LAST_PART_MS {
             self.sent_to_warm_count += 1;
         }
     }
 
     fn figures(&self) -> Figures {
-        let last_part_ms = self.end_ms() - LAST_PART_MS;
-        let in_last_part = self.sent_to_restarted.iter().filter(|sent| sent.at_ms >= last_part_ms);
+        let last_part_start_ms = self.end_ms() - LAST_PART_MS;
+        let in_last_part = self.sent_to_restarted.iter().filter(|sent| sent.at_ms >= last_part_start_ms);
         let departed = self.fleet.departure.map_or(0, |departure| departure.endpoints);
         let remaining_endpoints = (self.fleet.warm_endpoints - departed) as f64;
         Figures {
-            excess: self.excess(),
-            restarted: in_last_part.count() as f64,
-            warm: self.sent_to_warm_count as f64 / remaining_endpoints.max(1.0),
+            excess_requests: self.excess_requests(),
+            restarted_requests: in_last_part.count() as f64,
+            warm_requests: self.sent_to_warm_count as f64 / remaining_endpoints.max(1.0),
         }
     }
 
-    /// Returns by how many requests the worst overload window exceeds the allowed number and the tolerance for chance,
-    /// which is two standard deviations and two requests.
-    fn excess(&self) -> f64 {
+    /// Returns by how many requests the worst overload window exceeds the allowed number and the tolerance for random
+    /// variation, which is two standard deviations and two requests.
+    fn excess_requests(&self) -> f64 {
         let mut excess = f64::NEG_INFINITY;
         for (index, last) in self.sent_to_restarted.iter().enumerate() {
             let window_start_ms = last.at_ms - self.settings.overload_window_ms;
             let before = self.sent_to_restarted[..=index].iter().rev();
             let window: Vec<_> = before.take_while(|sent| sent.at_ms > window_start_ms).collect();
-            let sent_by_notified = window.iter().filter(|sent| sent.is_node_notified).count();
+            let sent_by_notified = window.iter().filter(|sent| sent.node_notified).count();
             let allowed = allowed_per_window(&self.settings, self.fleet.capacity_per_second, last.at_ms);
             // Nodes that have not learned of the restart cannot limit their rate: a window counts only if more than two
             // thirds of its requests are from nodes that have.
@@ -596,7 +596,7 @@
     let cases = [cases_of(&FLEET), cases_of_few_nodes(), cases_of(&LARGE_FLEET)];
     for Case { name, fleet } in cases.iter().flatten() {
         for seed in 1..=if fleet.nodes < 100 { 2 } else { 1 } {
-            let excess = simulate(fleet, seed).excess;
+            let excess = simulate(fleet, seed).excess_requests;
             assert!(
                 excess <= 0.0,
                 "{name}, {} nodes, seed {seed}: {excess:.1} requests too many in one window",
@@ -613,7 +613,8 @@
     for nodes in [2, 6, 25] {
         let all_new = Fleet { nodes, configured_nodes: nodes, all_start_at_once: true, ..FLEET };
         let all_warm_but_one = Fleet { all_start_at_once: false, ..all_new.clone() };
-        let (restarted, warm) = (simulate(&all_new, 1).restarted, simulate(&all_warm_but_one, 1).warm);
+        let (restarted, warm) =
+            (simulate(&all_new, 1).restarted_requests, simulate(&all_warm_but_one, 1).warm_requests);
         assert!(restarted > 0.5 * warm, "{nodes} nodes: {restarted} requests, a warm endpoint gets {warm}");
     }
 }
@@ -624,8 +625,8 @@
 fn a_restarted_endpoint_warms_up_and_serves() {
     for (fleet, min_share) in [(FLEET, 0.25), (LARGE_FLEET, 0.15)] {
         let figures: Vec<Figures> = (1..=6).map(|seed| simulate(&fleet, seed)).collect();
-        let restarted: f64 = figures.iter().map(|figures| figures.restarted).sum();
-        let warm: f64 = figures.iter().map(|figures| figures.warm).sum();
+        let restarted: f64 = figures.iter().map(|figures| figures.restarted_requests).sum();
+        let warm: f64 = figures.iter().map(|figures| figures.warm_requests).sum();
         assert!(
             restarted > min_share * warm,
             "{} nodes: {restarted} requests, warm endpoints get {warm}",
