--- a/tests/node_clients.rs
+++ b/tests/node_clients.rs
@@ -139,11 +139,11 @@
     assert_eq!(record.count(), 200);
 }
 
+/// Guards against a node that accepts only one connection in 10 ms, so that most clients wait until their deadline. In
+/// a replay of recorded traffic, this happened when clients held all connections and one of them was always new, about
+/// to send its first request.
 #[test]
 fn many_clients_with_one_request_each_are_served_without_delay() {
-    // Guards against a rate of one accepted connection in 10 ms, at which most clients waited until their deadline. It
-    // came about when clients held all connections and one of them was always new, about to send its first request; a
-    // replay of recorded traffic showed it.
     let record = RequestRecord::default();
     let addresses = start_endpoints(4, &record, |_, _| ok(b"x"));
     let discovery = DiscoveryStub::start(all_up(&addresses));
@@ -165,10 +165,10 @@
     assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
 }
 
+/// Guards against clients that send one request and then hold all connections that clients may have, as clients did
+/// in the same replay.
 #[test]
 fn only_some_of_many_keep_alive_clients_are_kept() {
-    // Guards against clients that send one request and then hold all connections that clients may have. The same replay
-    // of recorded traffic as above showed it.
     let record = RequestRecord::default();
     let addresses = start_endpoints(4, &record, |_, _| ok(b"x"));
     let discovery = DiscoveryStub::start(all_up(&addresses));
@@ -232,8 +232,8 @@
     let mut node = Node::launch(discovery.address, |_| {}, "ulimit -n 16; exec \"$0\"");
     wait_for("/up is 200", || node.readiness_status() == 200);
     // Each client sends half a request, so that none of them is idle. The node closes such clients after some time, or
-    // to make room for others. So new ones must connect for as long as the node is to stay at its limit; it is one
-    // below while a client that was closed is not replaced yet.
+    // to make room for others, so the test keeps connecting new ones to hold the node at its limit. The node is one
+    // descriptor below the limit until a closed client is replaced.
     let mut held = Vec::new();
     let mut connect_unfinished = || {
         let mut client = Client::try_connect(node.address);
@@ -284,17 +284,17 @@
 
 /// Up to 300 idle client connections to a node; each one that the node closes is replaced. Dropping this ends them.
 struct IdleClients {
-    stop: Arc<AtomicBool>,
+    should_stop: Arc<AtomicBool>,
     connector: Option<thread::JoinHandle<()>>,
 }
 
 impl IdleClients {
     fn connect(node: &Node) -> IdleClients {
-        let stop = Arc::new(AtomicBool::new(false));
-        let (address, is_stopped) = (node.address, stop.clone());
+        let should_stop = Arc::new(AtomicBool::new(false));
+        let (address, connector_should_stop) = (node.address, should_stop.clone());
         let connector = thread::spawn(move || {
             let mut held = std::collections::VecDeque::new();
-            while !is_stopped.load(Ordering::SeqCst) {
+            while !connector_should_stop.load(Ordering::SeqCst) {
                 if let Some(mut client) = Client::try_connect(address) {
                     // The node keeps a client that has sent a request longer than one that has not.
                     client.send(b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n");
@@ -306,13 +306,13 @@
                 thread::sleep(Duration::from_millis(2));
             }
         });
-        IdleClients { stop, connector: Some(connector) }
+        IdleClients { should_stop, connector: Some(connector) }
     }
 }
 
 impl Drop for IdleClients {
     fn drop(&mut self) {
-        self.stop.store(true, Ordering::SeqCst);
+        self.should_stop.store(true, Ordering::SeqCst);
         self.connector.take().map(thread::JoinHandle::join);
     }
 }
@@ -325,14 +325,14 @@
             let (draining, active) = (RequestRecord::default(), RequestRecord::default());
             let addresses =
                 [start_endpoint(&draining, |_, _| ok(b"x")), start_endpoint(&active, |_, _| ok(b"x"))];
-            let (discovery_address, console) = (free_address(), free_address());
+            let (discovery_address, admin_address) = (free_address(), free_address());
             let known = serde_json::json!({"rev": 1, "all": true, "targets": all_up(&addresses)});
             let node = Node::launch(
                 discovery_address,
                 |c| {
                     c["limits"]["sockets"] = configured_limit.into();
                     c["settings"]["membershipMode"] = mode.into();
-                    c["console"] = console.to_string().into();
+                    c["console"] = admin_address.to_string().into();
                     c["known"] = known;
                 },
                 &format!("ulimit -n {system_limit}; exec \"$0\""),
--- a/tests/node_reload.rs
+++ b/tests/node_reload.rs
@@ -21,13 +21,13 @@
     let mut node = Node::start(first.address, |_| {});
     let served_by = |address| send_request(address, &request("page", 4000)).body;
     let address = node.address;
-    let is_over = AtomicBool::new(false);
+    let should_stop = AtomicBool::new(false);
     thread::scope(|scope| {
         let load: Vec<_> = (0..4)
             .map(|_| {
                 scope.spawn(|| {
                     let mut client = Client::connect(address);
-                    while !is_over.load(Ordering::SeqCst) {
+                    while !should_stop.load(Ordering::SeqCst) {
                         assert_eq!(client.send_and_receive(&request("page", 4000)).status(), 200);
                     }
                 })
@@ -52,7 +52,7 @@
         let _third = DiscoveryStub::start_at(third_address, list_of(a));
         wait_for("the list of the third discovery is used", || served_by(address) == b"a");
         assert_eq!(first.call_count(), calls, "the first discovery was called again");
-        is_over.store(true, Ordering::SeqCst);
+        should_stop.store(true, Ordering::SeqCst);
         load.into_iter().for_each(|client| client.join().unwrap());
     });
     assert!(node.is_running());
