--- a/tests/node_admin.rs
+++ b/tests/node_admin.rs
@@ -26,8 +26,8 @@
 #[test]
 fn a_node_without_usable_endpoints_is_not_ready() {
     let discovery = DiscoveryStub::start(Vec::new());
-    let set_console = |c: &mut serde_json::Value| c["console"] = free_address().to_string().into();
-    let node = Node::launch(discovery.address, set_console, "exec \"$0\"");
+    let set_admin_address = |c: &mut serde_json::Value| c["console"] = free_address().to_string().into();
+    let node = Node::launch(discovery.address, set_admin_address, "exec \"$0\"");
     wait_for("the admin address accepts connections", || TcpStream::connect(node.admin_address()).is_ok());
     assert_eq!(node.admin_command("ready"), "error takes no clients\n");
 }
--- a/tests/node_durable_overrides.rs
+++ b/tests/node_durable_overrides.rs
@@ -17,7 +17,8 @@
     state_dir
 }
 
-/// Three endpoints, and what the processes of one node share: the listening socket and the directory of state files.
+/// Three endpoints, a discovery service that lists them, and the listening socket and the directory of state files that
+/// the processes of one node share.
 struct Fixture {
     records: Vec<RequestRecord>,
     discovery: DiscoveryStub,
@@ -39,13 +40,13 @@
 
     /// Starts a process of the node, and waits until it is ready for admin commands and clients.
     fn start_process(&self, faults: Option<&SyscallFaults>) -> Node {
-        let set_console = |c: &mut Value| c["console"] = free_address().to_string().into();
+        let set_admin_address = |c: &mut Value| c["console"] = free_address().to_string().into();
         let set_up_command = |c: &mut std::process::Command| faults.into_iter().for_each(|f| f.preload(c));
         let node = Node::launch_inheriting_with(
             self.discovery.address,
             &self.socket,
             &self.state_dir,
-            set_console,
+            set_admin_address,
             set_up_command,
         );
         wait_for("the process is ready", || {
@@ -79,7 +80,7 @@
         let fixture = Fixture::new(&format!("fails-{seed}"));
         let faults = SyscallFaults::new(seed);
         let mut node = fixture.start_process(Some(&faults));
-        // Every call fails, so the override cannot be stored: the answer is no `done`, and the override has no effect.
+        // Every call fails, so the override cannot be stored: the answer is not `done`, and the override has no effect.
         faults.set(fault, 1);
         let answer = node.admin_command("disable-server s-2");
         assert!(answer.starts_with("error"), "{fault:?}: {answer}");
--- a/tests/node_handover.rs
+++ b/tests/node_handover.rs
@@ -25,7 +25,7 @@
 }
 
 /// Gives the process an address for admin commands.
-fn set_console(config: &mut Value) {
+fn set_admin_address(config: &mut Value) {
     config["console"] = free_address().to_string().into();
 }
 
@@ -38,7 +38,7 @@
     let peer_address = free_address().to_string();
     // Both processes listen for messages of peers on the same address.
     let configure = |c: &mut Value| {
-        set_console(c);
+        set_admin_address(c);
         c["peer_listen"] = peer_address.clone().into();
     };
     let mut old = Node::launch_inheriting(discovery.address, &socket, &state_dir, configure);
@@ -122,10 +122,10 @@
     let (records, discovery) = start_three_endpoints();
     let socket = TcpListener::bind(free_address()).unwrap();
     let state_dir = create_state_dir("disable");
-    let old = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_console);
+    let old = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_admin_address);
     wait_for("the old process is ready", || old.readiness_status() == 200);
     assert!(old.admin_command("disable-server s-0").starts_with("done"));
-    let mut new = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_console);
+    let mut new = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_admin_address);
     wait_for("the new process is ready", || is_ready(&new));
     send_requests(&new, 40);
     assert_eq!(records[0].count(), 0, "s-0 is out of service in both processes");
@@ -158,9 +158,9 @@
     let (_, discovery) = start_three_endpoints();
     let socket = TcpListener::bind(free_address()).unwrap();
     let state_dir = create_state_dir("overwritten");
-    let old = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_console);
+    let old = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_admin_address);
     wait_for("the old process is ready", || old.readiness_status() == 200);
-    let new = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_console);
+    let new = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_admin_address);
     wait_for("the new process is ready", || is_ready(&new));
     let overrides_file = state_dir.join("node-calls.json");
     assert!(old.admin_command("disable-server s-2").starts_with("done"));
@@ -196,7 +196,7 @@
         }
         // The process of the previous case has left a valid copy, which would be read instead.
         let _ = std::fs::remove_file(state_dir.join("node-state.json.last"));
-        let mut node = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_console);
+        let mut node = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_admin_address);
         wait_for("the process is ready", || node.readiness_status() == 200);
         send_requests(&node, 1);
         node.terminate();
@@ -215,11 +215,11 @@
     let (records, discovery) = start_three_endpoints();
     let socket = TcpListener::bind(free_address()).unwrap();
     let state_dir = create_state_dir("successor");
-    let mut old = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_console);
+    let mut old = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_admin_address);
     wait_for("the old process is ready", || old.readiness_status() == 200);
     let mut client_of_old = Client::connect(old.address);
     assert_eq!(client_of_old.send_and_receive(&request("page", 4000)).status(), 200);
-    let mut new = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_console);
+    let mut new = Node::launch_inheriting(discovery.address, &socket, &state_dir, set_admin_address);
     wait_for("the new process is ready", || is_ready(&new));
     let process_file = state_dir.join("node-state.json");
     let pid_field = |pid: u32| format!("\"pid\":{pid},");
@@ -269,7 +269,7 @@
     let socket = TcpListener::bind(free_address()).unwrap();
     let state_dir = create_state_dir("list");
     let configure = |c: &mut Value| {
-        set_console(c);
+        set_admin_address(c);
         c["settings"]["membershipMode"] = "on_request".into();
         // With so many nodes, the random time may be as long as 2.5 s.
         c["settings"]["instances"] = 50_000.into();
@@ -281,20 +281,20 @@
     let version_2 = state::with_checksum(r#"{"pid":1,"started":1,"list":4,"servers":[]}"#);
     // Each case is the list version in a file of version 1, or `version 2` for the file of that version, which has
     // list version 4.
-    for (list, is_behind) in [("3", false), ("null", false), ("4", true), ("version 2", true)] {
+    for (list, is_list_outdated) in [("3", false), ("null", false), ("4", true), ("version 2", true)] {
         let text = if list == "version 2" { version_2.clone() } else { version_1.replace("LIST", list) };
         std::fs::write(state_dir.join("node-state.json"), text).unwrap();
         let calls = discovery.call_count();
         let mut node = Node::launch_inheriting(discovery.address, &socket, &state_dir, configure);
         wait_for("the process is ready", || node.readiness_status() == 200);
-        if is_behind {
+        if is_list_outdated {
             wait_for("the process calls discovery", || discovery.call_count() > calls);
         }
         node.terminate();
         assert!(node.wait_for_exit().success());
         assert_eq!(
             node.log().contains("its endpoint list is newer than the configured one"),
-            is_behind,
+            is_list_outdated,
             "{list}"
         );
     }
@@ -319,7 +319,7 @@
         (0..COUNT).map(|n| format!("127.9.{}.{}:7946", n / 250, n % 250 + 1)).collect(),
     );
     let configure = |c: &mut Value| {
-        set_console(c);
+        set_admin_address(c);
         c["limits"]["memory_mb"] = 32.into();
         c["settings"]["instances"] = COUNT.into();
         c["peer_listen"] = peer_listen.clone().into();
