--- a/tests/node_discovery_faults.rs
+++ b/tests/node_discovery_faults.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_failed_check_during_a_silent_watch_is_repeated_in_time() {
+fn a_failed_poll_during_a_silent_watch_is_repeated_in_time() {
     let PollingFixture { discovery, drained_list, node, records: [draining, active] } =
         poll_two_endpoints();
     discovery.hold_responses(true);
