--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -174,7 +174,8 @@
     }
 }
 
-/// Without the field's name, a fault in a line of thousands cannot be found.
+/// Errors must name the message or field that is wrong. Otherwise, the fault in a line among thousands cannot be
+/// found.
 #[test]
 fn errors_name_what_is_wrong() {
     let mut codec = new_codec();
--- a/tests/node/waiting.rs
+++ b/tests/node/waiting.rs
@@ -22,8 +22,8 @@
     }
 }
 
-/// Waits until the node may reuse a connection to an endpoint on which it has just received a response. The node does so
-/// only after the connection has been idle for a short time, which this wait exceeds.
+/// Waits until the node may reuse a connection to an endpoint on which it has just received a response. The node does
+/// so only after the connection has been idle for a short time, which this wait exceeds.
 pub fn wait_until_connection_is_reusable() {
     thread::sleep(Duration::from_millis(50));
 }
--- a/tests/node_discovery_start.rs
+++ b/tests/node_discovery_start.rs
@@ -14,8 +14,8 @@
     assert_eq!(send_request(node.address, &request("page", 900)).status(), 200);
 }
 
-/// Starts a node with the list in its configuration that `known` builds from an endpoint's entry, and returns the
-/// request line of its first discovery call.
+/// Starts a node whose configuration contains the list that `known` builds from the entry of one endpoint, and returns
+/// the request line of the node's first discovery call.
 fn first_call(known: impl FnOnce(Vec<Value>) -> Value) -> String {
     let record = RequestRecord::default();
     let addresses = start_endpoints(1, &record, |_, _| ok(b"x"));
--- a/tests/node_endpoint_faults.rs
+++ b/tests/node_endpoint_faults.rs
@@ -118,7 +118,7 @@
     let (mut bids, mut pages) = (Vec::new(), Vec::new());
     for _ in 0..60 {
         bids.extend(send_concurrently(&node, "bid", 900, 4, 4));
-        // So many that the two endpoints as a whole are not held congested.
+        // So many that the two endpoints do not become congested for all classes.
         pages.extend(send_concurrently(&node, "page", 4000, 24, 4));
     }
     assert!(count_served(&bids) >= 170, "{} of 240 bids", count_served(&bids));
--- a/tests/node_malformed_responses.rs
+++ b/tests/node_malformed_responses.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Returns malformed responses, each with a description of its fault. The endpoint keeps the connection open after it.
+/// Returns malformed responses, each with a description of its fault. They are sent on connections that stay open.
 fn malformed_responses() -> Vec<(&'static str, Vec<u8>)> {
     let with_body = |head: &str| format!("HTTP/1.1 {head}\r\n\r\nbody").into_bytes();
     vec![
--- a/tests/node_stalls.rs
+++ b/tests/node_stalls.rs
@@ -24,9 +24,9 @@
     }
 }
 
-/// Sends two requests while no process of the node runs. The process that is then started is shown a wall clock that
-/// is `wall_offset_ms` ahead. One in `fault_rate` of its socket reads and writes is interrupted, and as many of its
-/// calls to create a socket fail; with a rate of 0, none.
+/// Sends two requests while no process of the node runs, and then starts a process whose wall clock is
+/// `wall_offset_ms` ahead. One in `fault_rate` of its socket reads and writes is interrupted, and one in `fault_rate`
+/// of its calls to create a socket fails. With a rate of 0, none does.
 fn assert_wait_in_accept_queue_is_subtracted(wall_offset_ms: i64, fault_rate: i64) {
     let record = RequestRecord::default();
     // For each request that the endpoint received: the remaining time by its `X-Expires-In-Ms`, and when it arrived.
@@ -53,10 +53,10 @@
     first.kill();
     received.lock().unwrap().clear();
     // The next process accepts both connections. By then, the client of the second request has given up.
-    let send = |expires_ms: u64| {
+    let send = |deadline_ms: u64| {
         let mut stream = TcpStream::connect(socket.local_addr().unwrap()).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-        stream.write_all(&request("page", expires_ms)).unwrap();
+        stream.write_all(&request("page", deadline_ms)).unwrap();
         (stream, Instant::now())
     };
     let (mut live_client, sent_at) = send(3000);
@@ -98,7 +98,8 @@
                 (client, bytes[40..].to_vec())
             })
             .collect();
-        // The node reads the first parts meanwhile, and the time in which it spares new connections passes.
+        // Meanwhile, the node reads the first parts, and the time after the accept in which it closes no connection
+        // passes.
         wait_until_connection_is_reusable();
         let idle: Vec<Client> = node.while_suspended(|| {
             // The node accepts these connections first, and has to close others to free descriptors for them.
--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -6,7 +6,7 @@
     AttemptOutcome, Balancer, EndpointState, EndpointUpdate, Event, Settings, SettingsError, WatchUpdate,
 };
 
-/// Guards against an invalid duration or a jump of the clock that spoils estimates, so that later requests are
+/// Guards against estimates that an invalid duration or a jump of the clock corrupts, so that later requests are
 /// rejected.
 #[test]
 fn non_finite_times_and_a_clock_jump_do_no_harm() {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -9,8 +9,9 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use wheelpath::policy::*;
 
-/// One random step of a sequence. An index selects a request with an attempt in flight, modulo their number;
-/// in `CompleteBody` an unanswered request, and in `SetDisabled` a listed endpoint.
+/// One random step of a sequence. An index, modulo the number of candidates, selects a request with an attempt in
+/// flight; in `CompleteBody`, it selects an unanswered request, and in `SetDisabled`, an endpoint that a list has
+/// contained.
 #[derive(Debug, Clone)]
 enum Step {
     /// Class, key, and time until the client's deadline in milliseconds.
@@ -108,8 +109,8 @@
                 node.apply_list(*update, endpoints);
             }
             Step::SetDisabled(index, disabled) => {
-                let listed: Vec<_> = node.known_endpoints.keys().copied().collect();
-                if let Some(endpoint) = listed.get(index % listed.len().max(1)) {
+                let known: Vec<_> = node.known_endpoints.keys().copied().collect();
+                if let Some(endpoint) = known.get(index % known.len().max(1)) {
                     node.set_disabled(*endpoint, *disabled);
                 }
             }
--- a/tests/unit/peers.rs
+++ b/tests/unit/peers.rs
@@ -13,7 +13,7 @@
     let unknown_sender = UdpSocket::bind(any).await?;
     let nodes = vec![a.socket.local_addr()?, b.socket.local_addr()?];
     (a.addresses.nodes, b.addresses.nodes) = (nodes.clone(), nodes.clone());
-    unknown_sender.send_to(b"not of the tier", nodes[1]).await?;
+    unknown_sender.send_to(b"unknown", nodes[1]).await?;
     a.send(Some(1), &[7; MAX_MESSAGE_BYTES + 1]);
     a.send(Some(9), b"nobody");
     a.send(None, b"to all others");
