--- a/fault-soak/src/node.rs
+++ b/fault-soak/src/node.rs
@@ -79,7 +79,8 @@
     pub faults: Arc<SyscallFaults>,
     /// The process that serves; `None` before the first start and while the node is stopped.
     process: AsyncMutex<Option<Process>>,
-    /// Held while a process is started, replaced or stopped, so that only one task does so at a time.
+    /// Held while a process is started, reloaded, replaced or stopped, so that only one task does so at a
+    /// time.
     lifecycle_lock: AsyncMutex<()>,
     start_count: AtomicU32,
     logs: Mutex<Vec<PathBuf>>,
--- a/fault-soak/src/server.rs
+++ b/fault-soak/src/server.rs
@@ -150,8 +150,8 @@
         });
     }
 
-    /// Runs a request, unless it is rejected or the mode prevents it, and returns the response. Returns `None`
-    /// if the server does not respond.
+    /// Runs a request, unless it is rejected or the mode prevents it, and returns the response. Returns
+    /// `None` if the server does not respond.
     async fn respond(&self, id: u64, mode: ServerMode, rejected: bool) -> Option<ServerResponse> {
         if rejected {
             return Some(ServerResponse::keep_alive(response_bytes(
