--- a/tests/node_clock.rs
+++ b/tests/node_clock.rs
@@ -38,7 +38,7 @@
     }
 
     /// Sends `count` requests, and returns how many of them the first endpoint received.
-    fn first_endpoint_share(&self, node: &Node, count: usize) -> usize {
+    fn requests_to_first_endpoint(&self, node: &Node, count: usize) -> usize {
         let before = self.records[0].count();
         (0..count)
             .for_each(|_| assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200));
@@ -48,9 +48,11 @@
     /// Waits until the node has the restart, and asserts that the first endpoint is in slow start: it receives few
     /// requests, whereas a warm endpoint receives a third of them.
     fn assert_slow_start(&self, node: &Node) {
-        wait_for("the restarted endpoint is in slow start", || self.first_endpoint_share(node, 60) <= 10);
-        let share = self.first_endpoint_share(node, 200);
-        assert!(share <= 36, "{share} of 200 requests went to an endpoint in slow start");
+        wait_for("the restarted endpoint is in slow start", || {
+            self.requests_to_first_endpoint(node, 60) <= 10
+        });
+        let received = self.requests_to_first_endpoint(node, 200);
+        assert!(received <= 36, "{received} of 200 requests went to an endpoint in slow start");
     }
 }
 
@@ -63,8 +65,8 @@
         let mut fixture = Fixture::new(first_boot_ms);
         let faults = SyscallFaults::new(1);
         let node = Node::start_with_faults(fixture.discovery.address, &faults, |_| {});
-        let share = fixture.first_endpoint_share(&node, 90);
-        assert!(share >= 10, "{share} of 90 requests went to the warm endpoint");
+        let received = fixture.requests_to_first_endpoint(&node, 90);
+        assert!(received >= 10, "{received} of 90 requests went to the warm endpoint");
         faults.set(FaultSetting::WallOffsetMs, -step);
         // By the stepped clock: after a step of an hour this is before the first start time.
         fixture.publish_restart(wall_clock_ms() - step);
@@ -84,7 +86,7 @@
     });
     faults.set(FaultSetting::WallOffsetMs, HOUR_MS);
     fixture.publish_restart(wall_clock_ms() + HOUR_MS);
-    wait_for("the slow start has ended", || fixture.first_endpoint_share(&node, 90) >= 20);
+    wait_for("the slow start has ended", || fixture.requests_to_first_endpoint(&node, 90) >= 20);
 }
 
 #[test]
@@ -97,7 +99,7 @@
     });
     // The clock of the endpoint's machine is ahead of the node's.
     fixture.publish_restart(wall_clock_ms() + HOUR_MS);
-    wait_for("the slow start has ended", || fixture.first_endpoint_share(&node, 90) >= 20);
+    wait_for("the slow start has ended", || fixture.requests_to_first_endpoint(&node, 90) >= 20);
 }
 
 /// By the stepped wall clock the endpoint started an hour ago, longer than a slow start takes.
--- a/tests/node_durable_overrides.rs
+++ b/tests/node_durable_overrides.rs
@@ -57,7 +57,7 @@
     }
 
     /// Sends 60 requests, and returns how many of them each endpoint received.
-    fn endpoint_shares(&self, node: &Node) -> Vec<usize> {
+    fn requests_per_endpoint(&self, node: &Node) -> Vec<usize> {
         let before: Vec<usize> = self.records.iter().map(RequestRecord::count).collect();
         (0..60).for_each(|_| assert_eq!(send_request(node.address, &request("page", 4000)).status(), 200));
         self.records.iter().zip(before).map(|(r, before)| r.count() - before).collect()
@@ -85,7 +85,7 @@
         let answer = node.admin_command("disable-server s-2");
         assert!(answer.starts_with("error"), "{fault:?}: {answer}");
         assert!(
-            fixture.endpoint_shares(&node)[2] > 0,
+            fixture.requests_per_endpoint(&node)[2] > 0,
             "{fault:?}: a rejected override must have no effect"
         );
         // One call in two fails: the node repeats the write before it answers.
@@ -96,7 +96,11 @@
         assert!(node.admin_command("enable-server s-2").starts_with("error"), "{fault:?}");
         node.kill();
         let next = fixture.start_process(None);
-        assert_eq!(fixture.endpoint_shares(&next)[2], 0, "{fault:?}: the endpoint must still be disabled");
+        assert_eq!(
+            fixture.requests_per_endpoint(&next)[2],
+            0,
+            "{fault:?}: the endpoint must still be disabled"
+        );
     }
 }
 
@@ -111,7 +115,7 @@
     wait_for("the process is killed", || !node.is_running());
     // A file that is written in place, and not replaced by a rename, would be truncated now.
     let next = fixture.start_process(None);
-    assert_eq!(fixture.endpoint_shares(&next)[1], 0, "the endpoint must still be disabled");
+    assert_eq!(fixture.requests_per_endpoint(&next)[1], 0, "the endpoint must still be disabled");
     assert!(next.admin_command("disable-server s-0").starts_with("done"));
     drop(next);
     // Truncates the current files, and keeps the copies of the previous ones (`*.last`).
@@ -122,7 +126,7 @@
     }
     let next = fixture.start_process(None);
     assert_eq!(
-        fixture.endpoint_shares(&next)[..2],
+        fixture.requests_per_endpoint(&next)[..2],
         [0, 0],
         "both endpoints must still be disabled, by the intact copy"
     );
@@ -142,7 +146,7 @@
     let text = std::fs::read(&path).unwrap();
     std::fs::write(&path, &text[..text.len() / 2]).unwrap();
     let next = fixture.start_process(None);
-    assert_eq!(fixture.endpoint_shares(&next)[1], 0, "the endpoint must still be disabled");
+    assert_eq!(fixture.requests_per_endpoint(&next)[1], 0, "the endpoint must still be disabled");
 }
 
 #[test]
@@ -167,7 +171,7 @@
     drop(old);
     drop(new);
     let next = fixture.start_process(None);
-    assert_eq!(fixture.endpoint_shares(&next)[..2], [0, 0], "both endpoints must be disabled");
+    assert_eq!(fixture.requests_per_endpoint(&next)[..2], [0, 0], "both endpoints must be disabled");
 }
 
 #[test]
@@ -187,7 +191,7 @@
         state::write_updating_checksum(&path, &with_reused_pid);
     }
     let mut next = fixture.start_process(None);
-    assert_eq!(fixture.endpoint_shares(&next)[1], 0, "the endpoint must still be disabled");
+    assert_eq!(fixture.requests_per_endpoint(&next)[1], 0, "the endpoint must still be disabled");
     next.terminate();
     assert!(next.wait_for_exit().success());
     let log = next.log();
@@ -203,6 +207,6 @@
     assert!(node.admin_command("enable-server s-1").starts_with("done in service again, cold"));
     node.kill();
     let next = fixture.start_process(None);
-    let share = fixture.endpoint_shares(&next)[1];
-    assert!(share <= 10, "{share} of 60 requests went to an endpoint in slow start");
+    let received = fixture.requests_per_endpoint(&next)[1];
+    assert!(received <= 10, "{received} of 60 requests went to an endpoint in slow start");
 }
