--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -88,7 +88,7 @@
     )
 }
 
-/// How a request ended.
+/// How a request ended: with an answer, or with the disconnect of its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     Served,
--- a/tests/policy/snapshot.rs
+++ b/tests/policy/snapshot.rs
@@ -1,4 +1,5 @@
-//! Tests what a new process of a node takes over from the previous one, and how the two share a handover.
+//! Tests what a new process of a node takes over from the previous one, and how the two share the limits of the node
+//! while both run during a handover.
 
 use crate::common::{TestNode, active_endpoint};
 use crate::support::idempotent_node;
