--- a/fault-soak/src/client.rs
+++ b/fault-soak/src/client.rs
@@ -39,6 +39,10 @@
 const REUSE_IN_TEN: u32 = 9;
 /// A client that abandons a request does so within this part of its timeout.
 const MAX_ABANDON_FRACTION: f64 = 0.3;
+/// The pauses between the requests of a client while no fault changes them, in percent of the usual ones.
+pub const USUAL_PAUSE_PERCENT: u64 = 100;
+/// The share of requests that clients abandon while no fault changes it, in percent.
+pub const USUAL_ABANDON_PERCENT: u64 = 3;
 /// The number of distinct objects in the `X-Object` headers.
 const OBJECT_COUNT: u64 = 200;
 
@@ -112,8 +116,8 @@
         let entry = |address| NodeEntry { address, in_rotation: AtomicBool::new(false) };
         Arc::new(Clients {
             nodes: nodes.into_iter().map(entry).collect(),
-            pause_percent: AtomicU64::new(100),
-            abandon_percent: AtomicU64::new(3),
+            pause_percent: AtomicU64::new(USUAL_PAUSE_PERCENT),
+            abandon_percent: AtomicU64::new(USUAL_ABANDON_PERCENT),
             stopped: AtomicBool::new(false),
             next_id: AtomicU64::new(seed << 32 | 1),
             record,
--- a/fault-soak/src/fault_injection.rs
+++ b/fault-soak/src/fault_injection.rs
@@ -3,6 +3,7 @@
 //! Each fault is one task that begins the fault, sleeps for its duration and ends it. Faults that overlap
 //! in time run as separate tasks.
 
+use crate::client::{USUAL_ABANDON_PERCENT, USUAL_PAUSE_PERCENT};
 use crate::discovery::{Discovery, server_name};
 use crate::faults::FaultSetting;
 use crate::node::Node;
@@ -24,12 +25,8 @@
 const COMMAND_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The pauses between the requests of a client during a burst, in percent of the usual ones.
 const BURST_PAUSE_PERCENT: u64 = 60;
-/// The pauses between the requests of a client outside of bursts, in percent of the usual ones.
-const USUAL_PAUSE_PERCENT: u64 = 100;
 /// The share of requests that clients abandon during [`Fault::AbandonRequests`], in percent.
 const HIGH_ABANDON_PERCENT: u64 = 50;
-/// The share of requests that clients abandon at other times, in percent.
-const USUAL_ABANDON_PERCENT: u64 = 3;
 
 fn milliseconds(ms: u64) -> Duration {
     Duration::from_millis(ms)
