--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -79,8 +79,8 @@
     }
 }
 
-/// Returns whether an outcome proves that the attempt never ran. Repeats the operators' definition on purpose: with
-/// the function of the policy, the checks would not notice an error in it.
+/// Returns whether an outcome proves that the attempt never ran, by the operators' definition. Does not call the
+/// policy's own function, because the checks would then not notice an error in it.
 fn proves_not_executed(outcome: Option<AttemptOutcome>) -> bool {
     matches!(
         outcome,
