--- a/tests/policy/connection_scarcity.rs
+++ b/tests/policy/connection_scarcity.rs
@@ -4,8 +4,8 @@
 use crate::support::one_of_many_nodes;
 use wheelpath::policy::AttemptOutcome;
 
-/// Guards against nodes that seldom send a request but keep idle connections, so that an endpoint has none left for other
-/// nodes. Also guards against a single unreachable endpoint that gets all idle connections closed.
+/// Guards against nodes that seldom send a request but keep idle connections, so that an endpoint has none left for
+/// other nodes. Also guards against a single unreachable endpoint that gets all idle connections closed.
 #[test]
 fn idle_connections_are_closed_when_connections_are_scarce() {
     let mut node = one_of_many_nodes(20);
