--- a/fault-soak/src/fault_injection.rs
+++ b/fault-soak/src/fault_injection.rs
@@ -3,6 +3,7 @@
 //! Each fault is one task that begins the fault, sleeps for its duration and ends it. Faults that overlap
 //! in time run as separate tasks.
 
+use crate::client::{USUAL_ABANDON_PERCENT, USUAL_PAUSE_PERCENT};
 use crate::discovery::{Discovery, server_name};
 use crate::faults::FaultSetting;
 use crate::node::Node;
@@ -24,12 +25,8 @@
 const COMMAND_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The pauses between the requests of a client during a burst, in percent of the usual ones.
 const BURST_PAUSE_PERCENT: u64 = 60;
-/// The pauses between the requests of a client outside of bursts, in percent of the usual ones.
-const USUAL_PAUSE_PERCENT: u64 = 100;
 /// The share of requests that clients abandon during [`Fault::AbandonRequests`], in percent.
 const HIGH_ABANDON_PERCENT: u64 = 50;
-/// The share of requests that clients abandon at other times, in percent.
-const USUAL_ABANDON_PERCENT: u64 = 3;
 
 fn milliseconds(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -237,7 +234,7 @@
     /// command until the node acknowledges it.
     async fn disable_server(&self, node: usize, server: usize, duration: Duration) {
         let name = server_name(server);
-        let is_done = |reply: Option<String>| reply.is_some_and(|reply| reply.starts_with("done"));
+        let is_done = |answer: Option<String>| answer.is_some_and(|answer| answer.starts_with("done"));
         if !is_done(self.nodes[node].admin_command(&format!("disable-server {name}")).await) {
             return;
         }
@@ -245,7 +242,7 @@
             return;
         }
         tokio::time::sleep(duration).await;
-        // The node may use the server again as soon as it receives the command, even if its reply is lost.
+        // The node may use the server again as soon as it receives the command, even if its answer is lost.
         self.end_disabled_period(node, server);
         while !is_done(self.nodes[node].admin_command(&format!("enable-server {name}")).await) {
             tokio::time::sleep(COMMAND_RETRY_DELAY).await;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -11,8 +11,8 @@
 use wheelpath::policy::Balancer;
 use wheelpath::policy::*;
 
-/// Time after a request's deadline, in milliseconds, within which its answer still counts as in time. It is
-/// the tolerance of the users' bench.
+/// Time after a request's deadline, in milliseconds, within which its answer still counts as in time. The users'
+/// benchmark has the same tolerance.
 const ANSWER_TOLERANCE_MS: f64 = 20.0;
 
 /// Returns a request class whose late answers have no value.
@@ -28,7 +28,7 @@
     }
 }
 
-/// Returns settings that match no real deployment. The classes cover each kind of idempotency.
+/// Returns settings with arbitrary values. The classes cover each kind of idempotency.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -79,8 +79,8 @@
     }
 }
 
-/// Returns whether an outcome proves that the attempt never ran. Repeats the operators' definition on purpose: with
-/// the function of the policy, the checks would not notice an error in it.
+/// Returns whether an outcome proves that the attempt never ran, by the operators' definition. Does not call the
+/// policy's own function, because the checks would then not notice an error in it.
 fn proves_not_executed(outcome: Option<AttemptOutcome>) -> bool {
     matches!(
         outcome,
@@ -88,7 +88,7 @@
     )
 }
 
-/// How a request ended.
+/// How a request ended: with an answer, or with the disconnect of its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     Served,
