--- a/fault-soak/src/node.rs
+++ b/fault-soak/src/node.rs
@@ -27,8 +27,10 @@
 
 /// How long after SIGTERM clients still open new connections to the node.
 const REMOVAL_DELAY_AFTER_SIGTERM: Duration = Duration::from_millis(300);
-/// The time that a process has to exit after SIGTERM before it is killed: the longest deadline of a
-/// request, which is taken to be at least 3 s, plus 0.7 s.
+/// The time that a process has to exit after SIGTERM before it is killed. The rule for deployments is that
+/// SIGKILL follows SIGTERM no sooner than the longest class deadline, which counts as at most 3 s, plus
+/// 0.7 s. The fault soak always waits the longest time that this rule can give, whatever the deadlines of
+/// its classes are.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3700);
 /// How long after a process was killed clients still try to open new connections to the node.
 const REMOVAL_DELAY_AFTER_KILL: Duration = Duration::from_millis(1000);
@@ -359,7 +361,7 @@
         send_command(admin, line).await
     }
 
-    /// Makes one in `one_in` of the system calls that the fault concerns fail, for `duration`.
+    /// Applies the fault to one in `one_in` of the system calls that it concerns, for `duration`.
     pub async fn inject_syscall_fault(&self, fault: FaultSetting, one_in: i64, duration: Duration) {
         self.faults.set(fault, one_in);
         tokio::time::sleep(duration).await;
