--- a/fault-soak/src/schedule.rs
+++ b/fault-soak/src/schedule.rs
@@ -10,9 +10,12 @@
 
 /// A fault to inject.
 ///
-/// `node` and `server` are indexes, fields whose names end in `_ms` are in milliseconds, and a rate
-/// `one_in` of N fails one call in N. The serialized names are part of the format of schedules, which are
-/// kept to be replayed.
+/// `node` and `server` are indexes, and fields whose names end in `_ms` are in milliseconds. `one_in` is the
+/// rate of a fault of system calls: with a value of N, the fault affects one in N of the calls that it
+/// concerns, chosen at random.
+///
+/// The serialized kinds, such as `herd` for [`Fault::KillManyNodes`], and the names of the fields are part of
+/// the format of schedule files. Files are kept to be replayed, so these names must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 #[allow(missing_docs, reason = "the fields are explained together at the enum")]
@@ -42,16 +45,17 @@
     /// Suspends a node with SIGSTOP, and resumes it with SIGCONT.
     #[serde(rename = "hold-up")]
     SuspendNode { node: usize, for_ms: u64 },
-    /// Drains a node by an admin command, and resumes it by another.
+    /// Drains a node by the admin command `drain`, and ends the drain by the command `resume` after `for_ms`.
     DrainNode { node: usize, for_ms: u64 },
-    /// Disables a server at one node by an admin command, and enables it by another.
+    /// Disables a server at one node by the admin command `disable-server`, and enables it again at the same
+    /// node by the command `enable-server` after `for_ms`.
     #[serde(rename = "ban")]
     DisableServer { node: usize, server: usize, for_ms: u64 },
     /// Discovery lists a server as draining, and then as up again.
     #[serde(rename = "drain")]
     DrainServer { server: usize, for_ms: u64 },
-    /// Discovery removes a server from its list. The server stops a while later, restarts `for_ms` after it
-    /// stopped, and is listed again, in slow start.
+    /// Discovery removes a server from its list, and the server stops a while later. It restarts `for_ms`
+    /// after it stopped. Discovery then lists it again, and the server is in slow start.
     #[serde(rename = "replace")]
     ReplaceServer { server: usize, for_ms: u64 },
     /// A server crashes, and discovery removes it from its list only some time later. The server restarts
@@ -83,7 +87,8 @@
     DiscoveryDown { for_ms: u64 },
     /// Discovery responds late.
     DiscoverySlow { for_ms: u64 },
-    /// Discovery leaves open watches and new calls without a response.
+    /// Discovery keeps its connections open but does not respond, neither to calls that already wait for a
+    /// change of the list nor to new ones.
     DiscoverySilent { for_ms: u64 },
     /// Discovery restarts the numbering of its versions at a lower number.
     #[serde(rename = "count-anew")]
@@ -102,14 +107,16 @@
     IdleConnections { node: usize, count: usize },
     /// Steps the wall clock of all nodes.
     StepClock { by_ms: i64 },
-    /// System calls on sockets are interrupted or transfer only a few bytes.
+    /// Reads and writes on sockets are interrupted or transfer only a few bytes, and waits for events are
+    /// interrupted.
     #[serde(rename = "interrupt")]
     InterruptedCalls { node: usize, one_in: i64, for_ms: u64 },
     /// The system calls `accept`, `socket` and `connect` fail.
     #[serde(rename = "local-failures")]
     SocketFailures { node: usize, one_in: i64, for_ms: u64 },
-    /// Writes to sockets are delayed, as if the process had been suspended between a read of its clock and
-    /// the write that follows.
+    /// Writes to TCP sockets are delayed. Before the node writes a request to a server, it reads its clock to
+    /// decide whether the request may still be sent. A delayed write leaves later than that decision
+    /// assumes, as if the process had been suspended between the two.
     #[serde(rename = "slow-writes")]
     HeldWrites { node: usize, one_in: i64, for_ms: u64 },
     /// Writes, syncs and renames of files fail.
@@ -141,8 +148,9 @@
     pub duration_ms: u64,
 }
 
-/// No fault begins within this time after the start, so that the nodes get to know their servers, and no
-/// group of faults begins within this time before the end.
+/// The time from the start of a run to its first group of faults, and the minimum time from the beginning of
+/// the last group to the end of the run. Until the first fault, the nodes receive the list of servers and
+/// observe how fast the servers respond.
 const QUIET_PERIOD_MS: u64 = 2000;
 /// The faults of a group begin within this time of each other, so that they overlap.
 const GROUP_SPREAD_MS: u64 = 600;
