--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -39,7 +39,8 @@
 pub const SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl RequestClass {
-    /// All classes, in the order in which clients draw them at random.
+    /// All classes. Clients draw an index of this array at random, so the order decides which class a seed
+    /// gives each request.
     pub const ALL: [RequestClass; 3] = [RequestClass::View, RequestClass::Bid, RequestClass::Order];
 
     /// The name of the class in the settings of the nodes and in the `X-Qos` header.
@@ -94,6 +95,10 @@
 }
 
 /// The settings of the node with this index, in a deployment of `node_count` nodes.
+///
+/// The JSON keys, such as `fallMultiple` and `mustAskInMs`, are those of the node's settings file;
+/// `src/settings_file.rs` maps them to the names that the code uses. `rif` is a name of the requests in
+/// flight in load reports, which `src/load_report_text.rs` maps.
 pub fn settings(discovery: DiscoveryMode, node_count: usize, index: usize) -> Value {
     let mode = match discovery {
         DiscoveryMode::Push => "pushed",
@@ -127,7 +132,8 @@
     pub listen: SocketAddr,
     /// Where the node receives the datagrams of other nodes.
     pub peer_listen: SocketAddr,
-    /// Where discovery listens for this node. A reload of the configuration switches from one to the other.
+    /// The two addresses at which discovery listens for this node. The node uses one of them at a time: the
+    /// first one from the start of the run, and after each reload of its configuration the other one.
     pub discovery: [SocketAddr; 2],
 }
 
