--- a/fault-soak/src/node.rs
+++ b/fault-soak/src/node.rs
@@ -60,7 +60,7 @@
     /// The seed of the run, from which the seeds of the processes are derived.
     pub seed: u64,
     /// The number of descriptors that each process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
 }
 
 struct Process {
@@ -132,7 +132,7 @@
             discovery: self.addresses.discovery[discovery_index],
             admin,
             seed: self.deployment.seed ^ u64::from(start_number) << 32 ^ self.index as u64,
-            sockets: self.deployment.sockets,
+            max_descriptors: self.deployment.max_descriptors,
         };
         let (server_list, settings) =
             (self.deployment.discovery.current_list(), &self.deployment.settings[self.index]);
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -150,7 +150,7 @@
             clients: clients.clone(),
             record: record.clone(),
             seed: plan.seed,
-            sockets: parameters.sockets,
+            max_descriptors: parameters.max_descriptors,
         });
         let nodes = create_nodes(plan, addresses, &deployment);
         let wall_offset_ms = AtomicI64::new(0);
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -68,7 +68,7 @@
     /// How nodes learn the list of servers.
     pub discovery: DiscoveryMode,
     /// The number of descriptors that a node may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The offered load, as a fraction of the capacity of all servers together.
     pub load: f64,
 }
@@ -79,7 +79,7 @@
         let mut rng = fastrand::Rng::with_seed(!seed);
         RunParameters {
             discovery: if seed.is_multiple_of(2) { DiscoveryMode::Push } else { DiscoveryMode::Poll },
-            sockets: [128, 256, 512][rng.usize(..3)],
+            max_descriptors: [128, 256, 512][rng.usize(..3)],
             load: 0.3 + 0.6 * rng.f64(),
         }
     }
@@ -149,7 +149,7 @@
     /// The seed of its random numbers.
     pub seed: u64,
     /// The number of descriptors that it may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
 }
 
 /// The configuration file of one process. `peers` are the addresses of all nodes, and `server_list` is the
@@ -165,7 +165,7 @@
     json!({
         "name": process.name, "listen": addresses.listen.to_string(), "discovery": process.discovery.to_string(),
         "seed": format!("{:016x}", process.seed), "console": process.admin.to_string(),
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": process.sockets},
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": process.max_descriptors},
         "peer_listen": addresses.peer_listen.to_string(), "peers": peers,
         "known": server_list, "settings": settings
     })
