--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -22,11 +22,11 @@
     }
 }
 
-/// Guards against requests that may not be repeated but use up the budget of others. With real nodes, such a request
-/// selected another endpoint after a connection reset, though it could not be sent there; the budget was then spent,
-/// and no endpoint counted as usable.
+/// Guards against requests that must not be repeated but select another endpoint after a connection reset. With real
+/// nodes, such a request used up the retry budget of other requests. It also counted as a request that found no usable
+/// endpoint, so that the whole fleet seemed to be blocked.
 #[test]
-fn requests_that_may_not_be_repeated_use_no_budget() {
+fn requests_that_must_not_be_repeated_use_no_retry_budget() {
     let mut node =
         TestNode::with_endpoints(Settings { warm_keys: true, ..idempotent_node(1).settings }, 1, 30);
     node.warm_up(100, 1, 20.0);
