--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,5 +1,4 @@
-//! Tests the decisions of a balancer, with one module for each part of the policy. There is a small test for each state
-//! transition of the design and for each fault that was found.
+//! Tests the balancer's decisions, one module for each rule of the policy.
 
 #[path = "../common/mod.rs"]
 mod common;
