--- a/tests/node/client.rs
+++ b/tests/node/client.rs
@@ -81,8 +81,8 @@
 
 /// Sends requests until `active` has received 20 more, and asserts that `draining` receives none.
 ///
-/// A node that is one of many may reject some of several concurrent requests when their responses are late, so the
-/// status of the single request is not checked.
+/// Does not check the statuses of the responses: a node that is one of many has concurrency limits below 1, so it may
+/// reject some requests while others are answered late.
 pub fn assert_draining_endpoint_gets_no_requests(
     node: &Node,
     draining: &RequestRecord,
