--- a/src/node/system/receive_timestamp.rs
+++ b/src/node/system/receive_timestamp.rs
@@ -1,9 +1,10 @@
 //! Determines when the first bytes of a connection arrived at this machine, by the kernel's receive
 //! timestamps.
 //!
-//! A connection may wait in the accept queue of the listening socket: while this process is short of
-//! descriptors, or since before this process started, if the platform holds the listening socket. The
-//! client's deadline counts from when it sent the request, so this wait has to be subtracted.
+//! A connection may wait in the accept queue of the listening socket while this process is short of
+//! descriptors. If the platform opens the listening socket and passes it to the processes of the node, a
+//! connection may even have waited since before this process started. The client's deadline counts from when
+//! it sent the request, so this wait has to be subtracted.
 //!
 //! The kernel takes the timestamps from its wall clock. That clock may be stepped, and this process may be
 //! shown another one. The current time is therefore read from the same clock, as the timestamp of a
