--- a/src/load_report_text.rs
+++ b/src/load_report_text.rs
@@ -1,11 +1,13 @@
-//! Parses the load reports that endpoints send.
+//! Parses the load report header of responses, and resolves the names of the figures in load reports.
 //!
 //! A report is a list of named figures. The node receives it in an HTTP response header, and the simulator
-//! adapter in a field of a message. Each figure has two names, and either is accepted from both sources.
+//! adapter in a message field, which the adapter parses itself. Each figure has two names, and either is
+//! accepted from both sources.
 
 use crate::policy::LoadReport;
 
-/// Returns the field of a load report for a name that endpoints use. Returns `None` if the name is unknown.
+/// Returns the field of a load report that holds the figure with this name. Returns `None` if the name is
+/// unknown.
 pub(crate) fn field_mut<'a>(report: &'a mut LoadReport, name: &str) -> Option<&'a mut Option<f64>> {
     Some(match name {
         "rif" | "inflight" => &mut report.in_flight,
@@ -21,7 +23,7 @@
 /// Parses the load report header of a response, such as `TEXT inflight=7, queue=2`.
 ///
 /// Figures that have an unknown name, or a value that is not a finite number of at least 0, are left out. A
-/// malformed report is not an error: it is advisory, and the response that carries it is still valid.
+/// malformed report is not an error: reports are advisory, and the response is valid without one.
 pub fn parse_header(header: &str) -> LoadReport {
     let mut report = LoadReport::default();
     let pairs = header.trim().trim_start_matches("TEXT");
