--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -4,10 +4,11 @@
 use super::endpoint::EndpointId;
 use super::request::RequestId;
 
-/// The reason for which a request is rejected or failed.
+/// Why a request is rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectionReason {
-    /// The answer would arrive too late to have any value.
+    /// An answer would have no value: it would arrive after the objective of a class that does not value
+    /// late answers, or the weight of the class is 0.
     ObjectiveMissed,
     /// Admission sheds the request to reduce the load.
     LoadShed,
@@ -22,7 +23,7 @@
     NotRetryable,
     /// The last attempt did not answer the request, and no retry is allowed: the retry budget is too low, the
     /// latency objective has passed, or the attempt was not sent.
-    RetryBudgetExhausted,
+    RetryDenied,
 }
 
 impl RejectionReason {
@@ -34,7 +35,7 @@
         RejectionReason::NoUsableEndpoint,
         RejectionReason::DeadlineTooClose,
         RejectionReason::NotRetryable,
-        RejectionReason::RetryBudgetExhausted,
+        RejectionReason::RetryDenied,
     ];
 
     /// Returns the name in logs and counters. Operators' tools read these names, so they must not change.
@@ -46,7 +47,7 @@
             RejectionReason::NoUsableEndpoint => "blocked",
             RejectionReason::DeadlineTooClose => "no-time",
             RejectionReason::NotRetryable => "may-have-run",
-            RejectionReason::RetryBudgetExhausted => "no-retry",
+            RejectionReason::RetryDenied => "no-retry",
         }
     }
 }
--- a/src/policy/rejection_log.rs
+++ b/src/policy/rejection_log.rs
@@ -29,7 +29,7 @@
             RejectionReason::NoUsableEndpoint => counts.no_usable_endpoint += 1,
             RejectionReason::DeadlineTooClose
             | RejectionReason::NotRetryable
-            | RejectionReason::RetryBudgetExhausted => {}
+            | RejectionReason::RetryDenied => {}
         }
     }
 
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -345,7 +345,7 @@
             self.retry_budget.withdraw(cost);
             self.send_attempt(now_ms, id, actions);
         } else {
-            self.reject_or_fail(now_ms, id, RejectionReason::RetryBudgetExhausted, actions);
+            self.reject_or_fail(now_ms, id, RejectionReason::RetryDenied, actions);
         }
     }
 }
