--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -3,12 +3,12 @@
 //! When the endpoints are overloaded, every answer is late and has lost its value, unless some of the
 //! requests are shed.
 //!
-//! Each node estimates the overload of the fleet from the outcomes of its own attempts and from the
-//! utilization that endpoints report. From this estimate it adjusts an admission level: the share of the
-//! offered work that is admitted. The level is distributed over the classes of requests in order of the
-//! value gained per unit of work, so that requests of the lowest value are shed first. A limit on this
-//! node's requests in flight at all endpoints together protects the endpoints between two runs of
-//! housekeeping.
+//! Each node estimates the overload of the fleet, which is all endpoints together, from the outcomes of its
+//! own attempts and from the utilization that endpoints report. From this estimate it adjusts an admission
+//! level: the share of the offered work that is admitted. The level is distributed over the classes of
+//! requests in order of the value gained per unit of work, so that requests of the lowest value are shed
+//! first. A limit on this node's requests in flight at all endpoints together protects the endpoints
+//! between two runs of housekeeping.
 
 use super::action::RejectionReason;
 use super::class_statistics::ClassStatistics;
@@ -30,7 +30,7 @@
 const OFFERED_WORK_TIME_CONSTANT_SECONDS: f64 = 2.0;
 /// Mean requests in flight per endpoint, summed over all nodes, from which the estimated overload counts in
 /// full. Below it the overload is scaled down in proportion: with so few requests in flight, late answers
-/// are caused by a fault, and shedding load does not cure a fault. The value does not fit endpoints that
+/// are caused by a fault, and shedding load does not cure a fault. The value is too high for endpoints that
 /// two concurrent requests already overload.
 const FULL_OVERLOAD_IN_FLIGHT_PER_ENDPOINT: f64 = 2.0;
 /// Lower bound of the admission level, as a share of the offered work.
@@ -133,7 +133,7 @@
     pub weight: f64,
 }
 
-/// The load of this node and the fleet at the time of the decision.
+/// The load of this node and the size and load of the fleet, at the time of a decision or of housekeeping.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FleetLoad {
     /// Attempts of this node in flight at all endpoints.
@@ -170,8 +170,8 @@
         self.overload
     }
 
-    /// Records the outcome of a request whose answer is worth `weight`. `overload`, 0 to 1, is the degree
-    /// of overload that the outcome shows at its endpoint.
+    /// Records the outcome of an attempt for a request whose answer is worth `weight`. `overload`, 0 to 1,
+    /// is the degree of overload that the outcome shows at the endpoint.
     pub fn record_outcome(&mut self, weight: f64, overload: f64) {
         self.recent_outcomes.normal_weight += weight * (1.0 - overload);
         self.recent_outcomes.overloaded_weight += weight * overload;
@@ -229,8 +229,8 @@
         (limit + IN_FLIGHT_MARGIN_DEVIATIONS * limit.sqrt()).max(1.0)
     }
 
-    /// Runs housekeeping `seconds` after the previous run: updates the overload estimate, the admission
-    /// level and the probabilities of admission.
+    /// Updates the overload estimate, the admission level, the in-flight limit and the probabilities of
+    /// admission by a time step of `seconds`. Housekeeping calls it.
     pub fn update(
         &mut self,
         seconds: f64,
