--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -28,10 +28,11 @@
 const HOUSEKEEPING_TIMER: u64 = 1;
 /// Token of the timer that starts the next poll of discovery.
 const DISCOVERY_POLL_TIMER: u64 = 2;
-/// Lower bound of the time between two runs of housekeeping that estimates are updated by, in seconds.
+/// Lower bound of the time step by which one run of housekeeping updates the estimates, in seconds.
 const MIN_HOUSEKEEPING_SECONDS: f64 = 1e-3;
-/// Upper bound of the time that one run of housekeeping updates admission and the class statistics by, in
-/// seconds. Without it, the admission level could jump to either end after a stall of this node.
+/// Upper bound of the time step by which one run of housekeeping updates admission and the class
+/// statistics, in seconds. Without it, the admission level could jump to its lower or upper bound after a
+/// stall of this node.
 const MAX_ADMISSION_STEP_SECONDS: f64 = 1.0;
 
 /// A state machine that makes the load-balancing decisions of one node: it takes events and returns actions.
@@ -58,7 +59,8 @@
     pub(super) in_flight: u32,
     pub(super) rejection_log: RejectionLog,
     discovery_schedule: DiscoverySchedule,
-    /// When housekeeping last ran, in milliseconds on the balancer's clock; the start before its first run.
+    /// When housekeeping last ran, in milliseconds on the balancer's clock. Before its first run, the time
+    /// of [`Event::Start`].
     last_housekeeping_at_ms: f64,
 }
 
