--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -40,7 +40,7 @@
 const SHORT_DEADLINE_OBJECTIVE_SHARE: f64 = 0.5;
 /// Number of mean deviations that the short attempt timeout n is above the mean answer time.
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
-/// Lower bound of the reported mean answer time, in milliseconds.
+/// Lower bound of the mean answer time that [`ClassStatistics::mean_ms`] returns, in milliseconds.
 const MIN_MEAN_MS: f64 = 1.0;
 
 /// Statistics of one class of requests, as seen by this node.
@@ -64,7 +64,8 @@
     recent_first_tries: f64,
     /// Decaying count of requests that were answered within their objective.
     recent_served: f64,
-    /// Share of recent attempts, over all endpoints, that were rejected, late or lost.
+    /// Share of recent attempts, over all endpoints, that were rejected, timed out or answered late, 0 to
+    /// 1. Connection failures are not counted.
     failure_share: f64,
 }
 
@@ -77,9 +78,14 @@
     ///
     /// Most first tries arrive with one of a few common client deadlines. A try with an uncommon deadline
     /// is taken for a retry, and the time missing from the class's deadline is the time since the first
-    /// try. If clients mark their retries, a first try may arrive with any deadline, and a retry is taken
-    /// for a recent request if some first tries arrive with the same deadline. The estimate is wrong for
-    /// clients with short deadlines whose retries use the rest of a longer one.
+    /// try. A try with a common deadline is taken for a first try. Returns 0 until enough tries have been
+    /// counted to know the common deadlines.
+    ///
+    /// If clients mark their retries, a first try may arrive with any deadline, and the estimate for a
+    /// retry is 0 if some first tries arrive with about the same deadline.
+    ///
+    /// The estimate is wrong for a client whose first try has a short deadline and whose retries use the
+    /// rest of a longer one.
     pub fn estimate_client_age_ms(
         &mut self,
         time_to_deadline_ms: f64,
@@ -124,7 +130,7 @@
         self.mean_ms += step * (elapsed_ms - self.mean_ms);
     }
 
-    /// Counts a request; only first tries of a client are counted.
+    /// Counts a request if it is its client's first try.
     pub fn record_request(&mut self, is_first_try: bool) {
         self.recent_first_tries += if is_first_try { 1.0 } else { 0.0 };
     }
@@ -134,8 +140,8 @@
         self.recent_served += 1.0;
     }
 
-    /// Records an attempt: `failure` is 1 if it was rejected, late or lost, and 0 if it was answered within
-    /// the objective.
+    /// Records an attempt: `failure` is 1 if it was rejected, timed out or answered late, and 0 if it was
+    /// answered within the objective. The caller must leave out connection failures.
     pub fn record_attempt(&mut self, failure: f64) {
         self.failure_share += FAILURE_STEP * (failure - self.failure_share);
     }
@@ -150,7 +156,8 @@
         self.baseline_quantile_ms = risen_ms.min(self.upper_quantile_ms);
     }
 
-    /// Share of recent attempts, over all endpoints, that were rejected, late or lost, 0 to 1.
+    /// Share of recent attempts, over all endpoints, that were rejected, timed out or answered late, 0 to
+    /// 1.
     pub fn failure_share(&self) -> f64 {
         self.failure_share
     }
