--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -13,7 +13,7 @@
 /// Factor by which the limit grows faster until overload first shows.
 const INITIAL_GROWTH_FACTOR: f64 = 5.0;
 /// Lower bound of the limit at an endpoint that rejects requests, in requests in flight summed over all
-/// nodes. It does not fit endpoints that two concurrent requests already overload.
+/// nodes. It is too high for endpoints that two concurrent requests already overload.
 const MIN_LIMIT_WHEN_REJECTING: f64 = 2.0;
 /// Lower bound of the limit at an endpoint that answers late, in requests in flight summed over all nodes.
 /// With so few requests in flight, late answers are caused by a fault and not by a full queue. It does not
@@ -36,8 +36,8 @@
     limit: f64,
     /// Time of the last full cut, in milliseconds on the balancer's clock. The first cut counts as one;
     /// after that, a full cut is complete when the cuts since the previous one add up to the limit.
-    /// Overload of attempts sent before then is ignored, because the limit already reflects it. `None`
-    /// before the first cut.
+    /// Overload of attempts sent before then is ignored, because the limit already reflects it. A limit
+    /// restored from the previous process counts as a full cut. `None` before the first full cut.
     last_full_cut_at_ms: Option<f64>,
     /// Sum of the cuts since the last full cut, in requests in flight.
     accumulated_cuts: f64,
@@ -54,7 +54,8 @@
     pub elapsed_ms: f64,
     /// Requests of this node that are still in flight at the endpoint.
     pub in_flight: u32,
-    /// Degree of overload: 0 if the answer was well within the objective, 1 if it was late.
+    /// Degree of overload, from 0 for an answer well within the objective to 1 for a late answer, a
+    /// rejection or a failure. The overload of the whole fleet reduces it in proportion.
     pub overload: f64,
     /// Share of the unused part of the limit that is cut, 0 to 1.
     pub unused_cut_share: f64,
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Cuts the limit by a step, and by a share of the part that was unused when overload showed: that part
-    /// was never available.
+    /// Cuts the limit by a negative `step`, and by a share of the part that was unused when overload
+    /// showed: that part was never available.
     fn cut(&mut self, step: f64, sample: &LoadSample) {
         let unused = (self.limit - f64::from(sample.in_flight) - 1.0).max(0.0);
         self.limit =
