--- a/src/policy/decaying_mean.rs
+++ b/src/policy/decaying_mean.rs
@@ -1,4 +1,5 @@
-//! A moving average of observations that returns to a default value while there are no observations.
+//! Computes a moving average of observations that returns to a default value while there are no
+//! observations.
 
 use super::CLOCK_ORIGIN_MS;
 
