--- a/src/policy/decision_log.rs
+++ b/src/policy/decision_log.rs
@@ -43,7 +43,7 @@
         endpoints: usize,
         /// Share of the offered work that is admitted, 0 to 1.
         admission_level: f64,
-        /// Share of recent outcomes that show overload, 0 to 1.
+        /// Overload of all endpoints together as estimated by admission, 0 to 1.
         overload: f64,
     },
 }
