--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -1,6 +1,6 @@
 //! Schedules the polls of the discovery service.
 //!
-//! All nodes poll one small discovery service, and after a fleet-wide start or an outage of the service they
+//! All nodes poll one small discovery service, and after a common start or an outage of the service they
 //! would all poll it at the same time.
 //!
 //! So a node delays its first poll by a random time, and repeats a failed poll after an exponential backoff
@@ -9,8 +9,8 @@
 use super::tuning::Tuning;
 
 /// The longest pause after a failed poll, in milliseconds. A node is expected to know a change 6 s after
-/// discovery offers it. Within that time fit two pauses of this length and two polls, each of which waits
-/// in the service's queue for up to 2 s.
+/// discovery offers it. Two pauses of this length fit into that time, together with two polls that each
+/// wait in the service's queue for up to 2 s.
 const MAX_PAUSE_MS: f64 = 900.0;
 /// Maximum number of times that the pause is doubled.
 const MAX_DOUBLINGS: u32 = 5;
