--- a/src/policy/endpoint_set.rs
+++ b/src/policy/endpoint_set.rs
@@ -27,7 +27,7 @@
 /// Time constant of the exponential decay of [`Endpoint::served_per_second`], in milliseconds. It is one
 /// second, so that the decaying count is an estimate of the rate per second;
 /// [`EndpointSet::refill_and_decay`] applies the same decay.
-const SERVED_DECAY_MS: f64 = 1000.0;
+const SERVED_TIME_CONSTANT_MS: f64 = 1000.0;
 
 /// One endpoint, with everything that this node has learned about it.
 #[derive(Debug)]
@@ -77,7 +77,7 @@
         self.slow_start.restore(snapshot.started_at_ms);
         self.failures.restore(snapshot.prat_ms);
         self.limit.restore(now_ms, snapshot.concurrency_limit);
-        let retained = (-(now_ms - restored_at_ms) / SERVED_DECAY_MS).exp();
+        let retained = (-(now_ms - restored_at_ms) / SERVED_TIME_CONSTANT_MS).exp();
         self.served_per_second = snapshot.served_per_second.max(0.0) * retained;
     }
 }
