--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -21,7 +21,7 @@
     Failure,
 }
 
-/// The part of the system at fault when an attempt was not answered.
+/// The part of the system at fault when an attempt did not end as [`AttemptOutcome::Answered`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultSource {
     /// This node cancelled the attempt or did not send it.
@@ -51,7 +51,7 @@
 pub enum AttemptOutcome {
     /// The endpoint answered the request.
     Answered,
-    /// The endpoint answered with an error. The request may have run.
+    /// The endpoint sent an error, or a response that is malformed or incomplete. The request may have run.
     ErrorResponse,
     /// The endpoint rejected the request without running it.
     Rejected,
@@ -87,8 +87,9 @@
         matches!(self, AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent | AttemptOutcome::Rejected)
     }
 
-    /// Returns whether the endpoint failed to answer, which counts as a failure in its failure record. Error
-    /// responses and rejections are answers.
+    /// Returns whether the outcome counts as a failure in the endpoint's failure record: no response came
+    /// in time, or the connection failed. Error responses and rejections do not count: the endpoint has
+    /// responded.
     pub(super) fn is_failure(self) -> bool {
         matches!(
             self,
@@ -96,7 +97,7 @@
         )
     }
 
-    /// Returns the part of the system at fault, or `None` if the attempt was answered.
+    /// Returns the part of the system at fault, or `None` for [`AttemptOutcome::Answered`].
     pub fn fault_source(self) -> Option<FaultSource> {
         match self {
             AttemptOutcome::Answered => None,
@@ -149,8 +150,8 @@
     },
     /// A client's request has arrived.
     Request(Request),
-    /// The body of a request is complete, some time after its head. The times of the request, such as its
-    /// deadline, count from now on.
+    /// The body of a request is complete, some time after its head. The arrival of the request counts as
+    /// now, and its deadline and its other times move by the same amount.
     RequestBodyComplete(RequestId),
     /// A streamed response has started. The request counts as answered even if the rest of the response
     /// fails.
@@ -181,7 +182,7 @@
         /// The load figures that the endpoint reported; all of them are absent if it reported none.
         load: LoadReport,
     },
-    /// The client of the request has disconnected. It needs no answer any more.
+    /// The client of the request has disconnected and no longer needs an answer.
     ClientDisconnected(RequestId),
     /// A timer that [`Action::Timer`](super::Action::Timer) set is due. The value is the timer's token.
     Timer(u64),
