--- a/src/policy/load_report.rs
+++ b/src/policy/load_report.rs
@@ -36,8 +36,9 @@
 }
 
 impl LoadReport {
-    /// Returns the utilization of the endpoint, 0 to 1: the reported one or, if only the queue is reported,
-    /// an estimate from the work in the queue. Returns `None` if the report has neither.
+    /// Returns the utilization of the endpoint, 0 to 1: the reported one or, if it is absent, an estimate
+    /// from the number of requests queued, or else in flight, and their service time. Returns `None` if the
+    /// report has too few figures for both.
     fn estimated_utilization(&self, latency_objective_ms: f64) -> Option<f64> {
         let queue_utilization =
             self.queued.or(self.in_flight).zip(self.latency_ms).map(|(requests, latency_ms)| {
@@ -48,7 +49,8 @@
     }
 }
 
-/// The utilization of the fleet: the moving average of what endpoints report in their answers.
+/// The utilization of the fleet: a moving average of the utilization that the ends of attempts show at all
+/// endpoints.
 #[derive(Debug, Default)]
 pub(super) struct FleetUtilization {
     mean: f64,
