--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -23,8 +23,8 @@
 const UNUSED_CUT_SLOPE: f64 = 2.0;
 /// Upper bound of a class's baseline answer time, as a share of its latency objective.
 const MAX_BASELINE_OBJECTIVE_SHARE: f64 = 0.8;
-/// A timeout that is noticed more than this number of batch intervals after it was due is attributed to a
-/// stall of this node.
+/// An attempt that ends more than this number of batch intervals after its timeout was due is attributed to
+/// a stall of this node.
 const NODE_STALL_BATCHES: f64 = 20.0;
 
 /// An attempt that has ended, with the figures that the estimates learn from.
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns whether a timeout was noticed long after it was due, which means that this node stalled.
+    /// Returns whether an attempt ended long after its timeout was due, which means that this node stalled.
     fn is_node_stall(&self, ended: &EndedAttempt) -> bool {
         ended.elapsed_ms > ended.timeout_ms + NODE_STALL_BATCHES * self.settings.batch_interval_ms
     }
@@ -150,7 +150,7 @@
         if ended.is_within_objective {
             self.endpoints[index].served_per_second += 1.0;
         }
-        // An attempt that the node ended, or a malformed response, says nothing about load.
+        // An attempt that the node ended, or an error response, says nothing about load.
         if ended.outcome.was_ended_by_node() || ended.outcome == AttemptOutcome::ErrorResponse {
             return;
         }
@@ -158,8 +158,7 @@
             return;
         }
         // A timeout at a short client deadline says nothing about the endpoint; an endpoint that does not
-        // answer is detected through clients that wait longer. It is not detected if no client in the fleet
-        // waits longer.
+        // answer is detected through clients that wait longer, and is not detected if no client does.
         if has_short_deadline && ended.outcome == AttemptOutcome::TimedOut {
             return;
         }
@@ -175,9 +174,9 @@
         statistics.is_some_and(|class| class.is_short_deadline(ended.time_to_deadline_ms, objective_ms))
     }
 
-    /// Records the answer time in the statistics of the class. Timeouts count as answers that took at least
-    /// as long: without them the short timeout n, which is estimated from these times, would become shorter
-    /// and shorter.
+    /// Records the answer time in the statistics of the class. A timeout counts as an answer that took as
+    /// long as the attempt: without timeouts, the short timeout n, which is estimated from these times,
+    /// would become shorter and shorter.
     fn learn_answer_time(&mut self, ended: &EndedAttempt, has_short_deadline: bool) {
         if let Some(class) = self.classes.get_mut(ended.class)
             && ended.outcome.bounds_answer_time()
