--- a/src/policy/pending_request.rs
+++ b/src/policy/pending_request.rs
@@ -30,7 +30,8 @@
     pub arrived_at_ms: f64,
     /// When the latency objective ends, in milliseconds on the balancer's clock.
     pub objective_at_ms: f64,
-    /// Value of an answer that arrives by `objective_at_ms`.
+    /// Value of an answer, in units of the class's priority weight: the full value, or the value of a late
+    /// answer if the objective had already passed when the request arrived.
     pub weight: f64,
     /// The request has its final answer, or its client has disconnected.
     pub finished: bool,
