--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -65,10 +65,10 @@
             Freshness::InTime => class.weight,
             Freshness::TooOld => class.weight * class.late_weight_factor,
         };
-        let candidate =
+        let offered =
             OfferedRequest { class: request.class, freshness, cost_ms: self.cost_ms(&request), weight };
         let fleet = self.fleet_load();
-        let decision = self.admission.decide(candidate, fleet, &self.settings, &mut self.rng);
+        let decision = self.admission.decide(offered, fleet, &self.settings, &mut self.rng);
         if let Some(key) = request.key {
             self.key_frequencies.record(mix(key));
         }
