--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -39,9 +39,10 @@
 }
 
 impl RendezvousEntry {
-    /// Returns the endpoint's rank for a mixed key. The endpoint with the lowest rank is the first candidate.
-    fn rank(&self, key: u64) -> f64 {
-        let uniform = (mix(key ^ self.endpoint_hash) >> 11) as f64 / (1_u64 << 53) as f64;
+    /// Returns the endpoint's rank for a hashed key. The endpoint with the lowest rank is the first
+    /// candidate.
+    fn rank(&self, hashed_key: u64) -> f64 {
+        let uniform = (mix(hashed_key ^ self.endpoint_hash) >> 11) as f64 / (1_u64 << 53) as f64;
         -(uniform.max(f64::MIN_POSITIVE)).ln() * self.inverse_weight
     }
 }
@@ -57,7 +58,8 @@
     pub in_flight: u32,
     /// Mean utilization that the endpoints report, 0 to 1; 0 if no endpoint reports its load.
     pub fleet_utilization: f64,
-    /// This node has so small a part of the traffic that it has no attempt in flight at most endpoints.
+    /// This node has so small a part of the traffic that most endpoints have none of its attempts in
+    /// flight.
     pub sees_sparse_traffic: bool,
 }
 
@@ -82,8 +84,8 @@
         self.gate.is_usable(&self.endpoints[index])
     }
 
-    /// Returns the mixed key (see [`mix`]) by which the request is placed: a random one if the request has no
-    /// key.
+    /// Returns the hashed key (see [`mix`]) by which the request is placed: a random one if the request has
+    /// no key.
     ///
     /// A hot key is split into several subkeys, each with candidates of its own, because two candidates
     /// could not carry its traffic. A node notices an overloaded candidate by its own attempts in flight
@@ -93,8 +95,8 @@
         let key = self.gate.request.request.key.map_or_else(|| rng.u64(..), mix);
         let endpoints = self.endpoints.placement().len();
         let idle_factor = (1.0 - 2.0 * f64::from(self.in_flight) / endpoints.max(1) as f64).max(0.0);
-        let assumed_requests = if self.sees_sparse_traffic { SPARSE_TRAFFIC_PRIOR_REQUESTS } else { 0.0 };
-        let share = self.keys.share(key, assumed_requests);
+        let prior_requests = if self.sees_sparse_traffic { SPARSE_TRAFFIC_PRIOR_REQUESTS } else { 0.0 };
+        let share = self.keys.share(key, prior_requests);
         let subkeys = 1.0 + idle_factor * SUBKEYS_PER_MEAN_SHARE * share * endpoints as f64;
         if subkeys < MIN_SUBKEYS { key } else { mix(key ^ rng.u64(..subkeys as u64)) }
     }
