--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -153,9 +153,9 @@
     pub objective_weights: ObjectiveWeights,
     /// Deductions from the service objective.
     pub costs: Costs,
-    /// Number of nodes in the fleet; at least 1.
+    /// Number of nodes, this one included; at least 1.
     pub node_count: u32,
-    /// Index of this node in the fleet, from 0.
+    /// Index of this node among all nodes, from 0.
     pub node_index: u32,
     /// Zone of this node, comparable with [`EndpointUpdate::zone`](super::EndpointUpdate::zone). `None` if
     /// it is unknown.
@@ -202,7 +202,8 @@
     pub warm_keys: bool,
     /// Time after which a restarted endpoint has its full capacity at the latest, in milliseconds.
     pub slow_start_ms: f64,
-    /// Lower bound of the share of its capacity that a restarted endpoint has at once, 0 to 1.
+    /// Lower bound of the share of its full capacity that a restarted endpoint has right after its start, 0
+    /// to 1.
     pub slow_start_initial_capacity: f64,
     /// Multiple of its present capacity beyond which the load makes a restarted endpoint fail, if it lasts
     /// for [`overload_window_ms`](Settings::overload_window_ms).
