--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -18,7 +18,8 @@
 /// Requests that all nodes together may send to a restarted endpoint in one overload window, whatever its
 /// capacity is.
 const MIN_REQUESTS_PER_WINDOW: f64 = 3.0;
-/// A restarted endpoint may be sent requests at this multiple of the rate that it served in the last second.
+/// A restarted endpoint may be sent requests at this multiple of the rate at which it served this node's
+/// requests in the last second.
 const SERVED_RATE_MULTIPLE: f64 = 2.0;
 /// Square of the safety margin below the overload multiple. The margin is a multiple of the square root of
 /// the mean work; the root of 18 stands for three standard deviations of work whose variance is twice its
@@ -39,7 +40,7 @@
     /// Content of the token bucket at `refilled_at_ms`, in requests of mean work. It may be negative: each
     /// attempt takes a token, and a warm endpoint gets attempts whether or not the bucket contains one.
     tokens: f64,
-    /// In milliseconds on the balancer's clock.
+    /// When the bucket was last refilled, in milliseconds on the balancer's clock.
     refilled_at_ms: f64,
 }
 
@@ -93,7 +94,8 @@
     overload_multiple: f64,
     overload_window_seconds: f64,
     node_count: f64,
-    /// This node has so small a part of the traffic that it has no attempt in flight at most endpoints.
+    /// This node has so small a part of the traffic that most endpoints have none of its attempts in
+    /// flight.
     sees_sparse_traffic: bool,
     /// Mean served rate of the warm endpoints, in requests of this node per second; 0 until the rate of a
     /// warm endpoint has been observed.
