--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -27,9 +27,9 @@
     /// failure has left the window before its cause recurs, but at least twice the longest latency
     /// objective.
     pub failure_window_ms: f64,
-    /// Whether there are more nodes than an endpoint is assumed to hold requests at once. Each node then
-    /// has no request in flight at most endpoints, and reaches them too rarely to learn much about one of
-    /// them within N.
+    /// Whether the number of nodes exceeds the number of requests that an endpoint is assumed to hold at
+    /// once. Most endpoints then have no request of a given node in flight, and the node sends requests to
+    /// each endpoint too rarely to learn much about it within N.
     pub sees_sparse_traffic: bool,
     /// Time between two runs of housekeeping, in milliseconds.
     pub housekeeping_interval_ms: f64,
