--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -42,8 +42,8 @@
 impl NameIndex {
     /// Returns the index of a class in [`Settings::classes`].
     ///
-    /// Returns `usize::MAX`, which is no class, if the settings do not have the name: the strictest rules
-    /// then apply to the request.
+    /// Returns `usize::MAX`, which is not a valid index, if the settings do not contain the name: the
+    /// strictest rules then apply to the request.
     pub fn class_index(&self, name: &str) -> usize {
         index_of(&self.classes, name).unwrap_or(usize::MAX)
     }
