--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -74,7 +74,7 @@
     /// [`host`](super::host) handles the other messages itself: `provision`, `shutdown` and `update`.
     ///
     /// # Errors
-    /// The message has another name, or a field is missing or holds an invalid value.
+    /// The message is none of the events, or a field is missing or holds an invalid value.
     pub fn read_event(&mut self, message: &Message<'_>) -> Result<Event, MessageError> {
         let id = || message.required_u64("requestId").map(RequestId);
         let elapsed_ms = || Ok::<_, MessageError>(message.optional_f64("elapsedMs")?.unwrap_or(0.0));
@@ -159,7 +159,7 @@
             Action::SetWatch(enabled) => {
                 writeln!(out, "watch who={instance_id} want={}", u8::from(*enabled))
             }
-            Action::Log(event) => writeln!(out, "say_log who={instance_id} text={event}"),
+            Action::Log(entry) => writeln!(out, "say_log who={instance_id} text={entry}"),
         };
     }
 }
