--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -1,9 +1,9 @@
 //! Runs balancer instances that a simulator drives through its text protocol.
 //!
-//! The simulator plays many nodes in virtual time and expects each of them to decide on its own. The host
-//! keeps one balancer for each instance id; the instances share no state but the clock. A `round` line sets
-//! the time, the lines after it are messages to instances, and `eof_batch` ends the batch. The host then
-//! writes the actions that the balancers returned, in the order of the messages, and a line `end`.
+//! The simulator simulates many nodes in virtual time and expects each of them to decide on its own. The
+//! host keeps one balancer for each instance id; the instances share no state but the clock. A `round` line
+//! sets the time, the lines after it are messages to instances, and `eof_batch` ends the batch. The host
+//! then writes the actions that the balancers returned, in the order of the messages, and a line `end`.
 
 use super::codec::{Codec, parse_watch_update};
 use super::message::{Message, MessageError};
@@ -22,8 +22,8 @@
     /// A line of the input cannot be processed.
     #[error("line {line}: {cause}")]
     Line {
-        /// Number of the line in the input, from 1. For an `update`, the line of its
-        /// list at which the fault was found.
+        /// Number of the line in the input, from 1. For an `update`, the line of its list at which the
+        /// fault was found.
         line: u64,
         /// The reason.
         cause: LineError,
@@ -168,7 +168,7 @@
 
 /// Reads messages from `input` and writes the instances' actions to `output`, until the input ends.
 ///
-/// Actions of a batch that the input ends without `eof_batch` are not written.
+/// If the input ends before the `eof_batch` of the last batch, the actions of that batch are not written.
 ///
 /// # Errors
 /// Reading `input` or writing `output` failed, or a line cannot be processed.
