--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -17,7 +17,7 @@
     Invalid {
         /// Name of the field, or the rest of the line if a field has no `=`.
         field: String,
-        /// The fault, to be read after the field's name: "not a number".
+        /// The reason, as a phrase that follows the field's name, such as "not a number".
         reason: String,
     },
     /// The protocol has no message with this name.
