--- a/src/policy/class_outlier.rs
+++ b/src/policy/class_outlier.rs
@@ -20,8 +20,9 @@
 /// Weight of one outcome in the moving average of the failure share.
 const SHARE_STEP: f64 = 0.15;
 
-/// Failure shares of one endpoint: for each class, the share of recent attempts that it rejected, did not
-/// answer in time, or answered late. Connection failures are not counted.
+/// Failure shares of one endpoint: for each class, the share of recent attempts that were rejected, timed
+/// out or answered late. Only attempts that were rejected, timed out or answered are counted, without
+/// trials.
 #[derive(Debug)]
 pub(super) struct ClassFailures {
     shares: Vec<DecayingMean>,
--- a/src/policy/class_statistics.rs
+++ b/src/policy/class_statistics.rs
@@ -64,8 +64,8 @@
     recent_first_tries: f64,
     /// Decaying count of requests that were answered within their objective.
     recent_served: f64,
-    /// Share of recent attempts, over all endpoints, that were rejected, timed out or answered late, 0 to
-    /// 1. Connection failures are not counted.
+    /// Share, 0 to 1, of recent attempts at all endpoints that were rejected, timed out or answered late.
+    /// Only attempts that were rejected, timed out or answered are counted, without trials.
     failure_share: f64,
 }
 
@@ -141,7 +141,7 @@
     }
 
     /// Records an attempt: `failure` is 1 if it was rejected, timed out or answered late, and 0 if it was
-    /// answered within the objective. The caller must leave out connection failures.
+    /// answered within the objective. The caller must leave out attempts with other outcomes.
     pub fn record_attempt(&mut self, failure: f64) {
         self.failure_share += FAILURE_STEP * (failure - self.failure_share);
     }
@@ -156,8 +156,7 @@
         self.baseline_quantile_ms = risen_ms.min(self.upper_quantile_ms);
     }
 
-    /// Share of recent attempts, over all endpoints, that were rejected, timed out or answered late, 0 to
-    /// 1.
+    /// Share, 0 to 1, of recent attempts at all endpoints that were rejected, timed out or answered late.
     pub fn failure_share(&self) -> f64 {
         self.failure_share
     }
