--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -4,7 +4,7 @@
 use super::endpoint::EndpointId;
 use super::request::RequestId;
 
-/// Why a request is rejected or failed.
+/// The reason for which a request is rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectionReason {
     /// An answer would have no value: it would arrive after the objective of a class that does not value
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -1,7 +1,7 @@
 //! Schedules the polls of the discovery service.
 //!
-//! All nodes poll one small discovery service, and after a common start or an outage of the service they
-//! would all poll it at the same time.
+//! All nodes poll one small discovery service, and after a simultaneous start or an outage of the service
+//! they would all poll it at the same time.
 //!
 //! So a node delays its first poll by a random time, and repeats a failed poll after an exponential backoff
 //! with jitter. The backoff is limited, so that a node learns of changes in time.
