--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -144,8 +144,7 @@
     /// little time is left for an attempt.
     fn send_attempt(&mut self, now_ms: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
-        let gate =
-            SendGate { now_ms, settings: &self.settings, slow_start: &self.slow_start, request: pending };
+        let gate = SendGate { now_ms, settings: &self.settings, slow_start: &self.slow_start, pending };
         let selection = Selection {
             gate,
             endpoints: &self.endpoints,
@@ -181,7 +180,7 @@
         let allows_repeats = self.settings.idempotency(pending.request.class).allows_repeats();
         let timeout = AttemptTimeout {
             now_ms,
-            request: pending,
+            pending,
             extends_past_objective: keeps_value_when_late
                 && self.admission.level() > MIN_ADMISSION_LEVEL_FOR_LATE_ANSWERS,
             allows_short_timeout: self.endpoints[index].failures.is_suspect()
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -71,11 +71,11 @@
 /// that attempt by the idempotency key, and only while these remember the key.
 pub(super) fn repeat_window_ms(
     now_ms: f64,
-    request: &PendingRequest,
+    pending: &PendingRequest,
     class: Option<&RequestClass>,
     location: Location,
 ) -> f64 {
-    let Some(first) = request.first_attempt_that_may_have_run() else { return f64::INFINITY };
+    let Some(first) = pending.first_attempt_that_may_have_run() else { return f64::INFINITY };
     let Some(class) = class else { return 0.0 };
     match class.idempotency {
         Idempotency::Idempotent => f64::INFINITY,
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 pub(super) struct AttemptTimeout<'a> {
     pub now_ms: f64,
-    pub request: &'a PendingRequest,
+    pub pending: &'a PendingRequest,
     /// The timeout may extend from the latency objective to the deadline: late answers keep part of their
     /// value, and admission sheds almost nothing.
     pub extends_past_objective: bool,
@@ -108,8 +108,8 @@
     /// If a short timeout n is allowed, and enough answers were seen to estimate it, the attempt lasts no
     /// longer than n, so that an endpoint that does not respond costs little time.
     pub fn timeout_ms(&self) -> f64 {
-        let deadline_ms = self.request.request.deadline_ms;
-        let end_ms = if self.extends_past_objective { deadline_ms } else { self.request.objective_at_ms };
+        let deadline_ms = self.pending.request.deadline_ms;
+        let end_ms = if self.extends_past_objective { deadline_ms } else { self.pending.objective_at_ms };
         let timeout_ms = end_ms.min(deadline_ms) - self.now_ms;
         match self.statistics.and_then(ClassStatistics::short_timeout_ms) {
             Some(short_ms) if self.allows_short_timeout => {
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -92,7 +92,7 @@
     /// there, but not if it has next to none in flight. So an idle node splits a key into the most subkeys; a
     /// node whose attempts in flight number at least half of the endpoints does not split keys.
     fn placement_key(&self, rng: &mut fastrand::Rng) -> u64 {
-        let key = self.gate.request.request.key.map_or_else(|| rng.u64(..), mix);
+        let key = self.gate.pending.request.key.map_or_else(|| rng.u64(..), mix);
         let endpoints = self.endpoints.placement().len();
         let idle_factor = (1.0 - 2.0 * f64::from(self.in_flight) / endpoints.max(1) as f64).max(0.0);
         let prior_requests = if self.sees_sparse_traffic { SPARSE_TRAFFIC_PRIOR_REQUESTS } else { 0.0 };
@@ -104,7 +104,7 @@
     /// Returns the indexes of the two endpoints with the lowest ranks, lowest first. Skips endpoints at which
     /// the request's class is an outlier: there it fails far more often than at the other endpoints.
     fn candidates(&self, key: u64) -> [Option<usize>; 2] {
-        let class = self.gate.request.request.class;
+        let class = self.gate.pending.request.class;
         let mut best: [Option<usize>; 2] = [None; 2];
         let mut ranks = [f64::INFINITY; 2];
         for entry in self.endpoints.placement() {
--- a/src/policy/send_gate.rs
+++ b/src/policy/send_gate.rs
@@ -16,7 +16,7 @@
     pub now_ms: f64,
     pub settings: &'a Settings,
     pub slow_start: &'a SlowStartBudget,
-    pub request: &'a PendingRequest,
+    pub pending: &'a PendingRequest,
 }
 
 impl SendGate<'_> {
@@ -34,18 +34,18 @@
     /// deadline has not passed, its number of attempts is below the maximum and, if hedging is not allowed,
     /// it has no attempt in flight.
     fn request_allows_attempt(&self) -> bool {
-        let request = self.request;
-        !request.finished
-            && self.now_ms < request.request.deadline_ms
-            && (request.attempts.len() as u32) < self.settings.max_attempts
-            && (self.settings.hedging_allowed || !request.has_attempt_in_flight())
+        let pending = self.pending;
+        !pending.finished
+            && self.now_ms < pending.request.deadline_ms
+            && (pending.attempts.len() as u32) < self.settings.max_attempts
+            && (self.settings.hedging_allowed || !pending.has_attempt_in_flight())
     }
 
     /// Returns for how long an attempt at an endpoint may still begin, in milliseconds: infinite if the
     /// request cannot have run yet or a repeat does no harm, 0 or less if it may not be repeated there.
     pub fn repeat_window_ms(&self, endpoint: &Endpoint) -> f64 {
-        let class = self.settings.classes.get(self.request.request.class);
-        repeat_window_ms(self.now_ms, self.request, class, endpoint.location)
+        let class = self.settings.classes.get(self.pending.request.class);
+        repeat_window_ms(self.now_ms, self.pending, class, endpoint.location)
     }
 
     /// Returns whether selection may take an endpoint: [`SendGate::allows`] permits an attempt, the endpoint
@@ -54,8 +54,8 @@
     /// the attempt is then the trial.
     pub fn is_usable(&self, endpoint: &Endpoint) -> bool {
         let may_be_trial = endpoint.failures.is_trial_due(self.now_ms)
-            && self.settings.idempotency(self.request.request.class).allows_repeats();
-        let was_tried = self.request.attempts.iter().any(|attempt| attempt.endpoint == endpoint.id);
+            && self.settings.idempotency(self.pending.request.class).allows_repeats();
+        let was_tried = self.pending.attempts.iter().any(|attempt| attempt.endpoint == endpoint.id);
         (!endpoint.failures.is_congested() || may_be_trial)
             && !endpoint.limit.blocks(self.now_ms, endpoint.in_flight)
             && !was_tried
