--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -50,7 +50,7 @@
     pub(super) key_frequencies: KeyFrequencySketch,
     pub(super) admission: Admission,
     pub(super) retry_budget: RetryBudget,
-    pub(super) slow_start: SlowStartBudget,
+    pub(super) slow_start_budget: SlowStartBudget,
     pub(super) fleet_utilization: FleetUtilization,
     pub(super) connection_scarcity: ConnectionScarcity,
     /// Share of recent attempts at all endpoints that failed, 0 to 1.
@@ -82,7 +82,7 @@
             key_frequencies: KeyFrequencySketch::new(),
             admission: Admission::new(settings.classes.len()),
             retry_budget: RetryBudget::new(),
-            slow_start: SlowStartBudget::new(&settings, &tuning),
+            slow_start_budget: SlowStartBudget::new(&settings, &tuning),
             fleet_utilization: FleetUtilization::default(),
             connection_scarcity: ConnectionScarcity::default(),
             fleet_failure_share: 0.0,
@@ -117,15 +117,15 @@
             Event::Timer(HOUSEKEEPING_TIMER) => self.on_housekeeping(now_ms, actions),
             Event::Timer(DISCOVERY_POLL_TIMER) => actions.push(Action::SetWatch(true)),
             Event::Disable(id) => {
-                self.endpoints.disable(now_ms, id, &self.slow_start);
+                self.endpoints.disable(now_ms, id, &self.slow_start_budget);
                 actions.push(Action::CloseIdleConnections(id));
             }
-            Event::Enable(id) => self.endpoints.enable(now_ms, id, &self.slow_start, &mut self.rng),
+            Event::Enable(id) => self.endpoints.enable(now_ms, id, &self.slow_start_budget, &mut self.rng),
             Event::SnapshotRestored(snapshot) => {
-                self.endpoints.restore(now_ms, snapshot, &self.slow_start);
+                self.endpoints.restore(now_ms, snapshot, &self.slow_start_budget);
             }
             Event::HandoverStarted => {
-                self.slow_start.halve_warm_rate();
+                self.slow_start_budget.halve_warm_rate();
                 self.endpoints.halve_served_rates();
             }
             Event::Timer(_) | Event::PeerMessage { .. } | Event::ProbeEnded { .. } => {}
@@ -162,7 +162,7 @@
             let wait_ms = DiscoverySchedule::first_poll_in_ms(has_endpoints, &self.tuning, &mut self.rng);
             actions.push(Action::Timer { token: DISCOVERY_POLL_TIMER, at_ms: now_ms + wait_ms });
         }
-        self.endpoints.apply_update(now_ms, update, endpoints, &self.slow_start, &mut self.rng);
+        self.endpoints.apply_update(now_ms, update, endpoints, &self.slow_start_budget, &mut self.rng);
     }
 
     /// Updates everything that changes with time: decaying counts, token buckets, the placement of keys, and
@@ -171,11 +171,11 @@
         let seconds = ((now_ms - self.last_housekeeping_at_ms) / 1000.0).max(MIN_HOUSEKEEPING_SECONDS);
         self.last_housekeeping_at_ms = now_ms;
         self.schedule_housekeeping(now_ms, actions);
-        let warm_rate = self.endpoints.mean_warm_rate_per_second(now_ms, &self.slow_start);
-        self.slow_start.observe_warm_rate(warm_rate);
-        self.endpoints.refill_and_decay(now_ms, seconds, &self.slow_start);
+        let warm_rate = self.endpoints.mean_warm_rate_per_second(now_ms, &self.slow_start_budget);
+        self.slow_start_budget.observe_warm_rate(warm_rate);
+        self.endpoints.refill_and_decay(now_ms, seconds, &self.slow_start_budget);
         self.key_frequencies.decay(seconds);
-        self.endpoints.rebuild_placement(now_ms, &self.slow_start);
+        self.endpoints.rebuild_placement(now_ms, &self.slow_start_budget);
         let blocked_share = self.endpoints.blocked_share(now_ms);
         let fleet = self.fleet_load();
         let step_seconds = seconds.min(MAX_ADMISSION_STEP_SECONDS);
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -144,7 +144,12 @@
     /// little time is left for an attempt.
     fn send_attempt(&mut self, now_ms: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
-        let gate = SendGate { now_ms, settings: &self.settings, slow_start: &self.slow_start, pending };
+        let gate = SendGate {
+            now_ms,
+            settings: &self.settings,
+            slow_start_budget: &self.slow_start_budget,
+            pending,
+        };
         let selection = Selection {
             gate,
             endpoints: &self.endpoints,
@@ -196,7 +201,8 @@
     /// attempt as in flight, and marks it as a trial if the endpoint is congested.
     fn begin_attempt(&mut self, now_ms: f64, index: usize, timeout_ms: f64) -> Attempt {
         let endpoint = &mut self.endpoints[index];
-        let tokens = self.slow_start.tokens(now_ms, &endpoint.slow_start, endpoint.served_per_second);
+        let tokens =
+            self.slow_start_budget.tokens(now_ms, &endpoint.slow_start, endpoint.served_per_second);
         endpoint.slow_start.set_tokens(now_ms, tokens - 1.0);
         endpoint.in_flight += 1;
         self.in_flight += 1;
--- a/src/policy/send_gate.rs
+++ b/src/policy/send_gate.rs
@@ -15,7 +15,7 @@
 pub(super) struct SendGate<'a> {
     pub now_ms: f64,
     pub settings: &'a Settings,
-    pub slow_start: &'a SlowStartBudget,
+    pub slow_start_budget: &'a SlowStartBudget,
     pub pending: &'a PendingRequest,
 }
 
@@ -27,7 +27,11 @@
         self.request_allows_attempt()
             && endpoint.in_service
             && self.repeat_window_ms(endpoint) > 0.0
-            && self.slow_start.allows_send(self.now_ms, &endpoint.slow_start, endpoint.served_per_second)
+            && self.slow_start_budget.allows_send(
+                self.now_ms,
+                &endpoint.slow_start,
+                endpoint.served_per_second,
+            )
     }
 
     /// Returns whether the request may have another attempt, at any endpoint: it is not finished, its
