--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -154,7 +154,7 @@
             gate,
             endpoints: &self.endpoints,
             classes: &self.classes,
-            keys: &self.key_frequencies,
+            key_frequencies: &self.key_frequencies,
             in_flight: self.in_flight,
             fleet_utilization: self.fleet_utilization.mean(),
             sees_sparse_traffic: self.tuning.sees_sparse_traffic,
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -53,7 +53,7 @@
     pub gate: SendGate<'a>,
     pub endpoints: &'a EndpointSet,
     pub classes: &'a [ClassStatistics],
-    pub keys: &'a KeyFrequencySketch,
+    pub key_frequencies: &'a KeyFrequencySketch,
     /// Attempts of this node that are in flight, over all endpoints.
     pub in_flight: u32,
     /// Mean utilization that the endpoints report, 0 to 1; 0 if no endpoint reports its load.
@@ -96,7 +96,7 @@
         let endpoints = self.endpoints.placement().len();
         let idle_factor = (1.0 - 2.0 * f64::from(self.in_flight) / endpoints.max(1) as f64).max(0.0);
         let prior_requests = if self.sees_sparse_traffic { SPARSE_TRAFFIC_PRIOR_REQUESTS } else { 0.0 };
-        let share = self.keys.share(key, prior_requests);
+        let share = self.key_frequencies.share(key, prior_requests);
         let subkeys = 1.0 + idle_factor * SUBKEYS_PER_MEAN_SHARE * share * endpoints as f64;
         if subkeys < MIN_SUBKEYS { key } else { mix(key ^ rng.u64(..subkeys as u64)) }
     }
