--- a/src/settings_file.rs
+++ b/src/settings_file.rs
@@ -16,7 +16,7 @@
 pub enum SettingsFileError {
     /// The text is not valid JSON, or not an object; holds the reason.
     #[error("field config: {0}")]
-    NotAnObject(String),
+    Malformed(String),
     /// A required key is absent; holds its dotted path.
     #[error("field config.{0}: missing")]
     Missing(String),
@@ -70,7 +70,7 @@
 /// # Errors
 /// The text is not a JSON object, a required key is absent, or a value has the wrong type.
 pub fn read(text: &str) -> Result<(Settings, NameIndex), SettingsFileError> {
-    let json = serde_json::from_str(text).map_err(|e| SettingsFileError::NotAnObject(e.to_string()))?;
+    let json = serde_json::from_str(text).map_err(|e| SettingsFileError::Malformed(e.to_string()))?;
     read_value(&json)
 }
 
@@ -80,7 +80,7 @@
 /// The value is not an object, a required key is absent, or a value has the wrong type.
 pub fn read_value(json: &Value) -> Result<(Settings, NameIndex), SettingsFileError> {
     if !json.is_object() {
-        return Err(SettingsFileError::NotAnObject("not an object".to_owned()));
+        return Err(SettingsFileError::Malformed("not an object".to_owned()));
     }
     let root = JsonObject(json);
     let zones: Vec<String> = root.array("areas")?.iter().map(name_of).collect();
