--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -145,8 +145,8 @@
 }
 
 impl Admission {
-    /// Creates the state for `classes` request classes, with every request admitted.
-    pub fn new(classes: usize) -> Admission {
+    /// Creates the state for `class_count` request classes, with every request admitted.
+    pub fn new(class_count: usize) -> Admission {
         Admission {
             level: 1.0,
             overload: 0.0,
@@ -156,7 +156,7 @@
             full_utilization: MIN_FULL_UTILIZATION,
             in_flight_limit_factor: 1.0,
             in_flight_limit_hit: false,
-            groups: vec![[UNRESTRICTED_GROUP; 2]; classes],
+            groups: vec![[UNRESTRICTED_GROUP; 2]; class_count],
         }
     }
 
@@ -237,7 +237,7 @@
         blocked_share: f64,
         fleet: FleetLoad,
         settings: &Settings,
-        classes: &[ClassStatistics],
+        class_statistics: &[ClassStatistics],
     ) {
         self.blocked_share = blocked_share;
         self.estimate_overload(seconds, fleet, settings.node_count);
@@ -245,7 +245,7 @@
         self.adjust_level(seconds);
         self.adjust_in_flight_limit(seconds);
         self.recent_outcomes.decay(seconds);
-        self.assign_admission_chances(&self.rank_groups(settings, classes), seconds);
+        self.assign_admission_chances(&self.rank_groups(settings, class_statistics), seconds);
     }
 
     /// Estimates the overload from recent outcomes, scaled down if there are few requests in flight.
@@ -294,10 +294,11 @@
     }
 
     /// Returns all groups, ordered by the value gained per unit of work, highest first.
-    fn rank_groups(&self, settings: &Settings, classes: &[ClassStatistics]) -> Vec<RankedGroup> {
+    fn rank_groups(&self, settings: &Settings, class_statistics: &[ClassStatistics]) -> Vec<RankedGroup> {
         let weights = settings.objective_weights;
-        let lowest_served_share = classes.iter().map(ClassStatistics::served_share).fold(1.0, f64::min);
-        let classes = || classes.iter().zip(&settings.classes);
+        let lowest_served_share =
+            class_statistics.iter().map(ClassStatistics::served_share).fold(1.0, f64::min);
+        let classes = || class_statistics.iter().zip(&settings.classes);
         let total_value: f64 = classes()
             .map(|(statistics, class)| statistics.recent_first_tries() * class.priority_weight)
             .sum();
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -35,7 +35,8 @@
 /// stall of this node.
 const MAX_ADMISSION_STEP_SECONDS: f64 = 1.0;
 
-/// A state machine that makes the load-balancing decisions of one node: it takes events and returns actions.
+/// A state machine that makes the load-balancing decisions of one node: it takes events and returns
+/// actions.
 ///
 /// The crate documentation has an example.
 #[derive(Debug)]
@@ -46,7 +47,7 @@
     pub(super) endpoints: EndpointSet,
     pub(super) requests: HashMap<RequestId, PendingRequest>,
     /// One entry for each class, in the order of the settings.
-    pub(super) classes: Vec<ClassStatistics>,
+    pub(super) class_statistics: Vec<ClassStatistics>,
     pub(super) key_frequencies: KeyFrequencySketch,
     pub(super) admission: Admission,
     pub(super) retry_budget: RetryBudget,
@@ -65,8 +66,8 @@
 }
 
 impl Balancer {
-    /// Creates a balancer that knows no endpoint and no request. The same settings, seed and events result in
-    /// the same actions.
+    /// Creates a balancer that knows no endpoint and no request. The same settings, seed and events result
+    /// in the same actions.
     ///
     /// # Errors
     /// Returns an error if the settings contain no class, or a figure outside its range.
@@ -78,7 +79,7 @@
             rng: fastrand::Rng::with_seed(seed),
             endpoints: EndpointSet::new(&settings),
             requests: HashMap::new(),
-            classes: vec![ClassStatistics::default(); settings.classes.len()],
+            class_statistics: vec![ClassStatistics::default(); settings.classes.len()],
             key_frequencies: KeyFrequencySketch::new(),
             admission: Admission::new(settings.classes.len()),
             retry_budget: RetryBudget::new(),
@@ -94,8 +95,8 @@
         })
     }
 
-    /// Handles one event that happened at `now_ms`, in milliseconds on the balancer's clock, and appends the
-    /// resulting actions to `actions`.
+    /// Handles one event that happened at `now_ms`, in milliseconds on the balancer's clock, and appends
+    /// the resulting actions to `actions`.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => self.on_start(now_ms, actions),
@@ -165,8 +166,8 @@
         self.endpoints.apply_update(now_ms, update, endpoints, &self.slow_start_budget, &mut self.rng);
     }
 
-    /// Updates everything that changes with time: decaying counts, token buckets, the placement of keys, and
-    /// the admission level. Schedules the next run.
+    /// Updates everything that changes with time: decaying counts, token buckets, the placement of keys,
+    /// and the admission level. Schedules the next run.
     fn on_housekeeping(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         let seconds = ((now_ms - self.last_housekeeping_at_ms) / 1000.0).max(MIN_HOUSEKEEPING_SECONDS);
         self.last_housekeeping_at_ms = now_ms;
@@ -179,8 +180,8 @@
         let blocked_share = self.endpoints.blocked_share(now_ms);
         let fleet = self.fleet_load();
         let step_seconds = seconds.min(MAX_ADMISSION_STEP_SECONDS);
-        self.admission.update(step_seconds, blocked_share, fleet, &self.settings, &self.classes);
-        self.classes.iter_mut().for_each(|class| class.decay(step_seconds));
+        self.admission.update(step_seconds, blocked_share, fleet, &self.settings, &self.class_statistics);
+        self.class_statistics.iter_mut().for_each(|class| class.decay(step_seconds));
         self.log_rejections(now_ms, actions);
     }
 
@@ -203,14 +204,14 @@
         self.endpoints.snapshot(now_ms)
     }
 
-    /// Returns the endpoints that operators have taken out of service with [`Event::Disable`], whether or not
-    /// discovery lists them.
+    /// Returns the endpoints that operators have taken out of service with [`Event::Disable`], whether or
+    /// not discovery lists them.
     pub fn disabled_endpoints(&self) -> impl Iterator<Item = EndpointId> {
         self.endpoints.disabled()
     }
 
-    /// Returns whether discovery lists an endpoint as active and operators have not disabled it. A congested
-    /// endpoint, or one in slow start, is in service.
+    /// Returns whether discovery lists an endpoint as active and operators have not disabled it. A
+    /// congested endpoint, or one in slow start, is in service.
     pub fn is_in_service(&self, id: EndpointId) -> bool {
         self.endpoints.is_in_service(id)
     }
--- a/src/policy/class_outlier.rs
+++ b/src/policy/class_outlier.rs
@@ -29,9 +29,9 @@
 }
 
 impl ClassFailures {
-    /// Creates the record for `classes` request classes, without failures.
-    pub fn new(classes: usize) -> ClassFailures {
-        ClassFailures { shares: vec![DecayingMean::default(); classes] }
+    /// Creates the record for `class_count` request classes, without failures.
+    pub fn new(class_count: usize) -> ClassFailures {
+        ClassFailures { shares: vec![DecayingMean::default(); class_count] }
     }
 
     /// Records the outcome of an attempt: `failure` is 1 for a failure and 0 for a success.
@@ -42,19 +42,24 @@
     }
 
     /// Returns whether a class fails at this endpoint far more often than at all endpoints together.
-    pub fn is_outlier(&self, now_ms: f64, class: usize, classes: &[ClassStatistics]) -> bool {
-        let fleet_share = classes.get(class).map_or(1.0, ClassStatistics::failure_share);
+    pub fn is_outlier(&self, now_ms: f64, class: usize, class_statistics: &[ClassStatistics]) -> bool {
+        let fleet_share = class_statistics.get(class).map_or(1.0, ClassStatistics::failure_share);
         let threshold = MIN_FAILURE_SHARE.max(OUTLIER_FACTOR * fleet_share);
         self.shares.get(class).is_some_and(|share| share.at(now_ms, 0.0) > threshold)
     }
 
     /// Returns whether a class is an outlier while this endpoint has recently served another class.
-    pub fn is_isolated_outlier(&self, now_ms: f64, class: usize, classes: &[ClassStatistics]) -> bool {
+    pub fn is_isolated_outlier(
+        &self,
+        now_ms: f64,
+        class: usize,
+        class_statistics: &[ClassStatistics],
+    ) -> bool {
         let is_other_served = |other: usize| {
             other != class
                 && self.shares[other].age_ms(now_ms) < DECAY_TIME_CONSTANT_MS
-                && !self.is_outlier(now_ms, other, classes)
+                && !self.is_outlier(now_ms, other, class_statistics)
         };
-        self.is_outlier(now_ms, class, classes) && (0..self.shares.len()).any(is_other_served)
+        self.is_outlier(now_ms, class, class_statistics) && (0..self.shares.len()).any(is_other_served)
     }
 }
--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -170,7 +170,7 @@
     /// Returns whether the client allowed so little time that a timeout says nothing about the endpoint.
     fn has_short_deadline(&self, ended: &EndedAttempt) -> bool {
         let objective_ms = self.settings.latency_objective_ms(ended.class);
-        let statistics = self.classes.get(ended.class);
+        let statistics = self.class_statistics.get(ended.class);
         statistics.is_some_and(|class| class.is_short_deadline(ended.time_to_deadline_ms, objective_ms))
     }
 
@@ -178,7 +178,7 @@
     /// long as the attempt: without timeouts, the short timeout n, which is estimated from these times,
     /// would become shorter and shorter.
     fn learn_answer_time(&mut self, ended: &EndedAttempt, has_short_deadline: bool) {
-        if let Some(class) = self.classes.get_mut(ended.class)
+        if let Some(class) = self.class_statistics.get_mut(ended.class)
             && ended.outcome.bounds_answer_time()
             && !has_short_deadline
         {
@@ -192,12 +192,13 @@
         if ended.outcome.is_connection_failure() {
             return false;
         }
-        let Some(class) = self.classes.get_mut(ended.class) else { return false };
+        let Some(class) = self.class_statistics.get_mut(ended.class) else { return false };
         let failure = f64::from(u8::from(!ended.is_within_objective));
         class.record_attempt(failure);
         let failures = &mut self.endpoints[index].class_failures;
         failures.record(now_ms, ended.class, failure);
-        !ended.is_within_objective && failures.is_isolated_outlier(now_ms, ended.class, &self.classes)
+        !ended.is_within_objective
+            && failures.is_isolated_outlier(now_ms, ended.class, &self.class_statistics)
     }
 
     /// Returns the degree of overload, 0 to 1, that an outcome shows at the endpoint.
@@ -211,7 +212,7 @@
         }
         let objective_ms = self.settings.latency_objective_ms(ended.class);
         let class_baseline_ms =
-            self.classes.get(ended.class).map_or(0.0, |class| class.baseline_quantile_ms());
+            self.class_statistics.get(ended.class).map_or(0.0, |class| class.baseline_quantile_ms());
         let baseline_ms = class_baseline_ms.min(MAX_BASELINE_OBJECTIVE_SHARE * objective_ms);
         let overload_onset_ms = (baseline_ms * objective_ms).sqrt();
         ((ended.elapsed_ms - overload_onset_ms) / (objective_ms - overload_onset_ms)).clamp(0.0, 1.0)
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -18,8 +18,8 @@
 use super::selection::Selection;
 use super::send_gate::SendGate;
 
-/// An attempt may wait for an answer past the latency objective only while the admission level, the share of
-/// the offered work that is admitted, is above this value.
+/// An attempt may wait for an answer past the latency objective only while the admission level, the share
+/// of the offered work that is admitted, is above this value.
 const MIN_ADMISSION_LEVEL_FOR_LATE_ANSWERS: f64 = 0.95;
 /// Lower bound, in milliseconds, of the remaining latency objective that a retry-after time is computed
 /// from: nothing remains if earlier tries of the client have used up the objective.
@@ -113,7 +113,7 @@
     /// look like a late retry. If the class values late answers, the request is taken for a first try
     /// (age 0).
     fn client_age_ms(&mut self, request: &Request, wait_ms: f64, class: &EffectiveClass) -> f64 {
-        let Some(statistics) = self.classes.get_mut(request.class) else { return 0.0 };
+        let Some(statistics) = self.class_statistics.get_mut(request.class) else { return 0.0 };
         let is_retry = self.settings.clients_mark_retries.then_some(request.is_retry);
         let age_ms = if class.late_weight_factor > 0.0 {
             0.0
@@ -127,7 +127,7 @@
     /// Returns the work of a request, in milliseconds: the client's estimate if it is finite and positive,
     /// otherwise the mean of the request's class.
     fn cost_ms(&self, request: &Request) -> f64 {
-        let class_mean_ms = self.classes.get(request.class).map_or(1.0, |class| class.mean_ms());
+        let class_mean_ms = self.class_statistics.get(request.class).map_or(1.0, |class| class.mean_ms());
         request.estimated_cost_ms.filter(|cost| cost.is_finite() && *cost > 0.0).unwrap_or(class_mean_ms)
     }
 
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Sends the next attempt of a request. Rejects or fails the request if no endpoint is usable, or if too
-    /// little time is left for an attempt.
+    /// Sends the next attempt of a request. Rejects or fails the request if no endpoint is usable, or if
+    /// too little time is left for an attempt.
     fn send_attempt(&mut self, now_ms: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let gate = SendGate {
@@ -153,7 +153,7 @@
         let selection = Selection {
             gate,
             endpoints: &self.endpoints,
-            classes: &self.classes,
+            class_statistics: &self.class_statistics,
             key_frequencies: &self.key_frequencies,
             in_flight: self.in_flight,
             fleet_utilization: self.fleet_utilization.mean(),
@@ -191,7 +191,7 @@
             allows_short_timeout: self.endpoints[index].failures.is_suspect()
                 && allows_repeats
                 && self.retry_budget.affords_repeat(),
-            statistics: self.classes.get(pending.request.class),
+            statistics: self.class_statistics.get(pending.request.class),
             batch_interval_ms: self.settings.batch_interval_ms,
         };
         timeout.timeout_ms()
@@ -278,8 +278,8 @@
         }
     }
 
-    /// Handles the end of an attempt: updates the estimates that its outcome feeds, then retries or finishes
-    /// its request. Ignores a report on an attempt that is not in flight.
+    /// Handles the end of an attempt: updates the estimates that its outcome feeds, then retries or
+    /// finishes its request. Ignores a report on an attempt that is not in flight.
     pub(super) fn on_attempt_ended(
         &mut self,
         now_ms: f64,
@@ -290,7 +290,7 @@
         let Some(ended) = self.close_attempt(now_ms, &report) else { return };
         self.learn_from_attempt(now_ms, &ended, load, actions);
         if ended.is_within_objective
-            && let Some(class) = self.classes.get_mut(ended.class)
+            && let Some(class) = self.class_statistics.get_mut(ended.class)
         {
             class.record_served();
         }
@@ -327,8 +327,8 @@
     /// Finishes, retries, rejects or fails a request after one of its attempts has ended.
     ///
     /// The check for a request that may have run and must not run twice comes before the retry budget and
-    /// endpoint selection. Otherwise such a request would use up budget, and selection would count it as one
-    /// that found no usable endpoint in the fleet.
+    /// endpoint selection. Otherwise such a request would use up budget, and selection would count it as
+    /// one that found no usable endpoint in the fleet.
     fn retry_or_finish(&mut self, now_ms: f64, report: AttemptReport, actions: &mut Vec<Action>) {
         let id = report.id;
         let Some(pending) = self.requests.get(&id).filter(|pending| !pending.has_attempt_in_flight())
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -26,8 +26,8 @@
 /// A key is split only if the split results in at least this many subkeys.
 const MIN_SUBKEYS: f64 = 2.0;
 
-/// An endpoint in service in the placement table. The struct is small because each request iterates over the
-/// whole table.
+/// An endpoint in service in the placement table. The struct is small because each request iterates over
+/// the whole table.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RendezvousEntry {
     /// Hash of the endpoint's id, by [`mix`].
@@ -52,7 +52,7 @@
 pub(super) struct Selection<'a> {
     pub gate: SendGate<'a>,
     pub endpoints: &'a EndpointSet,
-    pub classes: &'a [ClassStatistics],
+    pub class_statistics: &'a [ClassStatistics],
     pub key_frequencies: &'a KeyFrequencySketch,
     /// Attempts of this node that are in flight, over all endpoints.
     pub in_flight: u32,
@@ -64,7 +64,8 @@
 }
 
 impl Selection<'_> {
-    /// Returns the index of the selected endpoint in the [`EndpointSet`], or `None` if no endpoint is usable.
+    /// Returns the index of the selected endpoint in the [`EndpointSet`], or `None` if no endpoint is
+    /// usable.
     pub fn select_endpoint(&self, rng: &mut fastrand::Rng) -> Option<usize> {
         let uniform_draw = rng.f64();
         let key = self.placement_key(rng);
@@ -89,8 +90,8 @@
     ///
     /// A hot key is split into several subkeys, each with candidates of its own, because two candidates
     /// could not carry its traffic. A node notices an overloaded candidate by its own attempts in flight
-    /// there, but not if it has next to none in flight. So an idle node splits a key into the most subkeys; a
-    /// node whose attempts in flight number at least half of the endpoints does not split keys.
+    /// there, but not if it has next to none in flight. So an idle node splits a key into the most subkeys;
+    /// a node whose attempts in flight number at least half of the endpoints does not split keys.
     fn placement_key(&self, rng: &mut fastrand::Rng) -> u64 {
         let key = self.gate.pending.request.key.map_or_else(|| rng.u64(..), mix);
         let endpoints = self.endpoints.placement().len();
@@ -101,8 +102,8 @@
         if subkeys < MIN_SUBKEYS { key } else { mix(key ^ rng.u64(..subkeys as u64)) }
     }
 
-    /// Returns the indexes of the two endpoints with the lowest ranks, lowest first. Skips endpoints at which
-    /// the request's class is an outlier: there it fails far more often than at the other endpoints.
+    /// Returns the indexes of the two endpoints with the lowest ranks, lowest first. Skips endpoints at
+    /// which the request's class is an outlier: there it fails far more often than at the other endpoints.
     fn candidates(&self, key: u64) -> [Option<usize>; 2] {
         let class = self.gate.pending.request.class;
         let mut best: [Option<usize>; 2] = [None; 2];
@@ -122,7 +123,7 @@
     }
 
     fn is_class_outlier(&self, class: usize, index: usize) -> bool {
-        self.endpoints[index].class_failures.is_outlier(self.gate.now_ms, class, self.classes)
+        self.endpoints[index].class_failures.is_outlier(self.gate.now_ms, class, self.class_statistics)
     }
 
     /// Returns the index of the usable endpoint with the fewest attempts of this node in flight. Ties are
