--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -186,8 +186,8 @@
         self.recent_outcomes.count += self.blocked_share;
     }
 
-    /// Decides whether a request is admitted. A request of an unknown class is admitted unless its weight
-    /// is 0.
+    /// Decides whether a request is admitted. The in-flight limit applies only if endpoints report their
+    /// load. A request of an unknown class is admitted unless its weight is 0.
     ///
     /// # Errors
     /// Returns the reason for the rejection.
