--- a/src/policy/connection_scarcity.rs
+++ b/src/policy/connection_scarcity.rs
@@ -11,7 +11,7 @@
 use super::event::AttemptOutcome;
 
 /// Weight of one outcome in the moving average of the share of attempts without a connection.
-const OUTCOME_WEIGHT: f64 = 0.02;
+const UNCONNECTED_SHARE_STEP: f64 = 0.02;
 /// Connections are scarce if the share of attempts without a connection exceeds this.
 const SCARCE_UNCONNECTED_SHARE: f64 = 0.15;
 
@@ -33,7 +33,7 @@
     /// to all endpoints.
     pub fn record(&mut self, now_ms: f64, outcome: AttemptOutcome, hold_ms: f64) -> bool {
         let unconnected = f64::from(u8::from(outcome == AttemptOutcome::ConnectFailed));
-        self.unconnected_share += OUTCOME_WEIGHT * (unconnected - self.unconnected_share);
+        self.unconnected_share += UNCONNECTED_SHARE_STEP * (unconnected - self.unconnected_share);
         if self.unconnected_share <= SCARCE_UNCONNECTED_SHARE {
             return false;
         }
