--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -57,13 +57,15 @@
     Rejected,
     /// No answer arrived within the attempt's timeout. The request may have run.
     TimedOut,
-    /// No connection was established in time. The request did not run.
+    /// No connection was established in time, or it was lost before the request was sent completely. The
+    /// request did not run.
     ConnectFailed,
-    /// The connection was lost before the answer. The request may have run.
+    /// The connection was lost after the request was sent and before the answer was complete. The request
+    /// may have run.
     ConnectionReset,
     /// This node cancelled the attempt. The request may have run.
     Cancelled,
-    /// This node did not send the attempt. The request did not run.
+    /// This node did not send the attempt, or not completely. The request did not run.
     NotSent,
 }
 
