--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -16,8 +16,8 @@
 /// nodes. It is too high for endpoints that two concurrent requests already overload.
 const MIN_LIMIT_WHEN_REJECTING: f64 = 2.0;
 /// Lower bound of the limit at an endpoint that answers late, in requests in flight summed over all nodes.
-/// With so few requests in flight, late answers are caused by a fault and not by a full queue. It does not
-/// fit endpoints that two concurrent requests already overload.
+/// With so few requests in flight, late answers are caused by a fault of the endpoint and not by a full
+/// queue, and a lower limit would only serve fewer requests.
 const MIN_LIMIT_WHEN_LATE: f64 = 0.5;
 
 /// Returns the initial limit for an endpoint about which nothing is known, in requests in flight.
