--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -204,8 +204,9 @@
     /// Returns the degree of overload, 0 to 1, that an outcome shows at the endpoint.
     ///
     /// It is 0 up to the geometric mean of the class's baseline answer time and its latency objective, and
-    /// rises from there to 1 at the objective. Beyond that mean, additional requests in flight are not
-    /// served any sooner, although the objective is not missed until much later.
+    /// rises from there to 1 at the objective. Beyond that mean, additional requests in flight only wait in
+    /// the endpoint's queue and do not raise its throughput, although the objective is not missed until
+    /// much later.
     fn observed_overload(&self, ended: &EndedAttempt) -> f64 {
         if !ended.is_within_objective {
             return 1.0;
