--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -23,9 +23,9 @@
 /// Parameters derived from one set of settings.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Tuning {
-    /// N, the length of the failure window, in milliseconds. It is half of the slow-start time, so that a
-    /// failure has left the window before its cause recurs, but at least twice the longest latency
-    /// objective.
+    /// N, the length of the failure window, in milliseconds. It is half of the slow-start time, so that the
+    /// failures around one restart have left the window before the endpoint can have warmed up and
+    /// restarted again, but at least twice the longest latency objective.
     pub failure_window_ms: f64,
     /// Whether the number of nodes exceeds the number of requests that an endpoint is assumed to hold at
     /// once. Most endpoints then have no request of a given node in flight, and the node sends requests to
