--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -28,13 +28,15 @@
 const HOUSEKEEPING_TIMER: u64 = 1;
 /// Token of the timer that starts the next poll of discovery.
 const DISCOVERY_POLL_TIMER: u64 = 2;
-/// Lower bound of the time between two runs of housekeeping that estimates are updated by, in seconds.
+/// Lower bound of the time step by which one run of housekeeping updates the estimates, in seconds.
 const MIN_HOUSEKEEPING_SECONDS: f64 = 1e-3;
-/// Upper bound of the time that one run of housekeeping updates admission and the class statistics by, in
-/// seconds. Without it, the admission level could jump to either end after a stall of this node.
+/// Upper bound of the time step by which one run of housekeeping updates admission and the class
+/// statistics, in seconds. Without it, the admission level could jump to its lower or upper bound after a
+/// stall of this node.
 const MAX_ADMISSION_STEP_SECONDS: f64 = 1.0;
 
-/// A state machine that makes the load-balancing decisions of one node: it takes events and returns actions.
+/// A state machine that makes the load-balancing decisions of one node: it takes events and returns
+/// actions.
 ///
 /// The crate documentation has an example.
 #[derive(Debug)]
@@ -45,11 +47,11 @@
     pub(super) endpoints: EndpointSet,
     pub(super) requests: HashMap<RequestId, PendingRequest>,
     /// One entry for each class, in the order of the settings.
-    pub(super) classes: Vec<ClassStatistics>,
+    pub(super) class_statistics: Vec<ClassStatistics>,
     pub(super) key_frequencies: KeyFrequencySketch,
     pub(super) admission: Admission,
     pub(super) retry_budget: RetryBudget,
-    pub(super) slow_start: SlowStartBudget,
+    pub(super) slow_start_budget: SlowStartBudget,
     pub(super) fleet_utilization: FleetUtilization,
     pub(super) connection_scarcity: ConnectionScarcity,
     /// Share of recent attempts at all endpoints that failed, 0 to 1.
@@ -58,13 +60,14 @@
     pub(super) in_flight: u32,
     pub(super) rejection_log: RejectionLog,
     discovery_schedule: DiscoverySchedule,
-    /// When housekeeping last ran, in milliseconds on the balancer's clock; the start before its first run.
+    /// When housekeeping last ran, in milliseconds on the balancer's clock. Before its first run, the time
+    /// of [`Event::Start`].
     last_housekeeping_at_ms: f64,
 }
 
 impl Balancer {
-    /// Creates a balancer that knows no endpoint and no request. The same settings, seed and events result in
-    /// the same actions.
+    /// Creates a balancer that knows no endpoint and no request. The same settings, seed and events result
+    /// in the same actions.
     ///
     /// # Errors
     /// Returns an error if the settings contain no class, or a figure outside its range.
@@ -76,11 +79,11 @@
             rng: fastrand::Rng::with_seed(seed),
             endpoints: EndpointSet::new(&settings),
             requests: HashMap::new(),
-            classes: vec![ClassStatistics::default(); settings.classes.len()],
+            class_statistics: vec![ClassStatistics::default(); settings.classes.len()],
             key_frequencies: KeyFrequencySketch::new(),
             admission: Admission::new(settings.classes.len()),
             retry_budget: RetryBudget::new(),
-            slow_start: SlowStartBudget::new(&settings, &tuning),
+            slow_start_budget: SlowStartBudget::new(&settings, &tuning),
             fleet_utilization: FleetUtilization::default(),
             connection_scarcity: ConnectionScarcity::default(),
             fleet_failure_share: 0.0,
@@ -92,8 +95,8 @@
         })
     }
 
-    /// Handles one event that happened at `now_ms`, in milliseconds on the balancer's clock, and appends the
-    /// resulting actions to `actions`.
+    /// Handles one event that happened at `now_ms`, in milliseconds on the balancer's clock, and appends
+    /// the resulting actions to `actions`.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => self.on_start(now_ms, actions),
@@ -115,15 +118,15 @@
             Event::Timer(HOUSEKEEPING_TIMER) => self.on_housekeeping(now_ms, actions),
             Event::Timer(DISCOVERY_POLL_TIMER) => actions.push(Action::SetWatch(true)),
             Event::Disable(id) => {
-                self.endpoints.disable(now_ms, id, &self.slow_start);
+                self.endpoints.disable(now_ms, id, &self.slow_start_budget);
                 actions.push(Action::CloseIdleConnections(id));
             }
-            Event::Enable(id) => self.endpoints.enable(now_ms, id, &self.slow_start, &mut self.rng),
+            Event::Enable(id) => self.endpoints.enable(now_ms, id, &self.slow_start_budget, &mut self.rng),
             Event::SnapshotRestored(snapshot) => {
-                self.endpoints.restore(now_ms, snapshot, &self.slow_start);
+                self.endpoints.restore(now_ms, snapshot, &self.slow_start_budget);
             }
             Event::HandoverStarted => {
-                self.slow_start.halve_warm_rate();
+                self.slow_start_budget.halve_warm_rate();
                 self.endpoints.halve_served_rates();
             }
             Event::Timer(_) | Event::PeerMessage { .. } | Event::ProbeEnded { .. } => {}
@@ -160,25 +163,25 @@
             let wait_ms = DiscoverySchedule::first_poll_in_ms(has_endpoints, &self.tuning, &mut self.rng);
             actions.push(Action::Timer { token: DISCOVERY_POLL_TIMER, at_ms: now_ms + wait_ms });
         }
-        self.endpoints.apply_update(now_ms, update, endpoints, &self.slow_start, &mut self.rng);
+        self.endpoints.apply_update(now_ms, update, endpoints, &self.slow_start_budget, &mut self.rng);
     }
 
-    /// Updates everything that changes with time: decaying counts, token buckets, the placement of keys, and
-    /// the admission level. Schedules the next run.
+    /// Updates everything that changes with time: decaying counts, token buckets, the placement of keys,
+    /// and the admission level. Schedules the next run.
     fn on_housekeeping(&mut self, now_ms: f64, actions: &mut Vec<Action>) {
         let seconds = ((now_ms - self.last_housekeeping_at_ms) / 1000.0).max(MIN_HOUSEKEEPING_SECONDS);
         self.last_housekeeping_at_ms = now_ms;
         self.schedule_housekeeping(now_ms, actions);
-        let warm_rate = self.endpoints.mean_warm_rate_per_second(now_ms, &self.slow_start);
-        self.slow_start.observe_warm_rate(warm_rate);
-        self.endpoints.refill_and_decay(now_ms, seconds, &self.slow_start);
+        let warm_rate = self.endpoints.mean_warm_rate_per_second(now_ms, &self.slow_start_budget);
+        self.slow_start_budget.observe_warm_rate(warm_rate);
+        self.endpoints.refill_and_decay(now_ms, seconds, &self.slow_start_budget);
         self.key_frequencies.decay(seconds);
-        self.endpoints.rebuild_placement(now_ms, &self.slow_start);
+        self.endpoints.rebuild_placement(now_ms, &self.slow_start_budget);
         let blocked_share = self.endpoints.blocked_share(now_ms);
         let fleet = self.fleet_load();
         let step_seconds = seconds.min(MAX_ADMISSION_STEP_SECONDS);
-        self.admission.update(step_seconds, blocked_share, fleet, &self.settings, &self.classes);
-        self.classes.iter_mut().for_each(|class| class.decay(step_seconds));
+        self.admission.update(step_seconds, blocked_share, fleet, &self.settings, &self.class_statistics);
+        self.class_statistics.iter_mut().for_each(|class| class.decay(step_seconds));
         self.log_rejections(now_ms, actions);
     }
 
@@ -201,14 +204,14 @@
         self.endpoints.snapshot(now_ms)
     }
 
-    /// Returns the endpoints that operators have taken out of service with [`Event::Disable`], whether or not
-    /// discovery lists them.
+    /// Returns the endpoints that operators have taken out of service with [`Event::Disable`], whether or
+    /// not discovery lists them.
     pub fn disabled_endpoints(&self) -> impl Iterator<Item = EndpointId> {
         self.endpoints.disabled()
     }
 
-    /// Returns whether discovery lists an endpoint as active and operators have not disabled it. A congested
-    /// endpoint, or one in slow start, is in service.
+    /// Returns whether discovery lists an endpoint as active and operators have not disabled it. A
+    /// congested endpoint, or one in slow start, is in service.
     pub fn is_in_service(&self, id: EndpointId) -> bool {
         self.endpoints.is_in_service(id)
     }
--- a/src/policy/outcome_feedback.rs
+++ b/src/policy/outcome_feedback.rs
@@ -23,8 +23,8 @@
 const UNUSED_CUT_SLOPE: f64 = 2.0;
 /// Upper bound of a class's baseline answer time, as a share of its latency objective.
 const MAX_BASELINE_OBJECTIVE_SHARE: f64 = 0.8;
-/// A timeout that is noticed more than this number of batch intervals after it was due is attributed to a
-/// stall of this node.
+/// An attempt that ends more than this number of batch intervals after its timeout was due is attributed to
+/// a stall of this node.
 const NODE_STALL_BATCHES: f64 = 20.0;
 
 /// An attempt that has ended, with the figures that the estimates learn from.
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns whether a timeout was noticed long after it was due, which means that this node stalled.
+    /// Returns whether an attempt ended long after its timeout was due, which means that this node stalled.
     fn is_node_stall(&self, ended: &EndedAttempt) -> bool {
         ended.elapsed_ms > ended.timeout_ms + NODE_STALL_BATCHES * self.settings.batch_interval_ms
     }
@@ -150,7 +150,7 @@
         if ended.is_within_objective {
             self.endpoints[index].served_per_second += 1.0;
         }
-        // An attempt that the node ended, or a malformed response, says nothing about load.
+        // An attempt that the node ended, or an error response, says nothing about load.
         if ended.outcome.was_ended_by_node() || ended.outcome == AttemptOutcome::ErrorResponse {
             return;
         }
@@ -158,8 +158,7 @@
             return;
         }
         // A timeout at a short client deadline says nothing about the endpoint; an endpoint that does not
-        // answer is detected through clients that wait longer. It is not detected if no client in the fleet
-        // waits longer.
+        // answer is detected through clients that wait longer, and is not detected if no client does.
         if has_short_deadline && ended.outcome == AttemptOutcome::TimedOut {
             return;
         }
@@ -171,15 +170,15 @@
     /// Returns whether the client allowed so little time that a timeout says nothing about the endpoint.
     fn has_short_deadline(&self, ended: &EndedAttempt) -> bool {
         let objective_ms = self.settings.latency_objective_ms(ended.class);
-        let statistics = self.classes.get(ended.class);
+        let statistics = self.class_statistics.get(ended.class);
         statistics.is_some_and(|class| class.is_short_deadline(ended.time_to_deadline_ms, objective_ms))
     }
 
-    /// Records the answer time in the statistics of the class. Timeouts count as answers that took at least
-    /// as long: without them the short timeout n, which is estimated from these times, would become shorter
-    /// and shorter.
+    /// Records the answer time in the statistics of the class. A timeout counts as an answer that took as
+    /// long as the attempt: without timeouts, the short timeout n, which is estimated from these times,
+    /// would become shorter and shorter.
     fn learn_answer_time(&mut self, ended: &EndedAttempt, has_short_deadline: bool) {
-        if let Some(class) = self.classes.get_mut(ended.class)
+        if let Some(class) = self.class_statistics.get_mut(ended.class)
             && ended.outcome.bounds_answer_time()
             && !has_short_deadline
         {
@@ -193,26 +192,28 @@
         if ended.outcome.is_connection_failure() {
             return false;
         }
-        let Some(class) = self.classes.get_mut(ended.class) else { return false };
+        let Some(class) = self.class_statistics.get_mut(ended.class) else { return false };
         let failure = f64::from(u8::from(!ended.is_within_objective));
         class.record_attempt(failure);
         let failures = &mut self.endpoints[index].class_failures;
         failures.record(now_ms, ended.class, failure);
-        !ended.is_within_objective && failures.is_isolated_outlier(now_ms, ended.class, &self.classes)
+        !ended.is_within_objective
+            && failures.is_isolated_outlier(now_ms, ended.class, &self.class_statistics)
     }
 
     /// Returns the degree of overload, 0 to 1, that an outcome shows at the endpoint.
     ///
     /// It is 0 up to the geometric mean of the class's baseline answer time and its latency objective, and
-    /// rises from there to 1 at the objective. Beyond that mean, additional requests in flight are not
-    /// served any sooner, although the objective is not missed until much later.
+    /// rises from there to 1 at the objective. Beyond that mean, additional requests in flight only wait in
+    /// the endpoint's queue and do not raise its throughput, although the objective is not missed until
+    /// much later.
     fn observed_overload(&self, ended: &EndedAttempt) -> f64 {
         if !ended.is_within_objective {
             return 1.0;
         }
         let objective_ms = self.settings.latency_objective_ms(ended.class);
         let class_baseline_ms =
-            self.classes.get(ended.class).map_or(0.0, |class| class.baseline_quantile_ms());
+            self.class_statistics.get(ended.class).map_or(0.0, |class| class.baseline_quantile_ms());
         let baseline_ms = class_baseline_ms.min(MAX_BASELINE_OBJECTIVE_SHARE * objective_ms);
         let overload_onset_ms = (baseline_ms * objective_ms).sqrt();
         ((ended.elapsed_ms - overload_onset_ms) / (objective_ms - overload_onset_ms)).clamp(0.0, 1.0)
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -26,8 +26,8 @@
 /// A key is split only if the split results in at least this many subkeys.
 const MIN_SUBKEYS: f64 = 2.0;
 
-/// An endpoint in service in the placement table. The struct is small because each request iterates over the
-/// whole table.
+/// An endpoint in service in the placement table. The struct is small because each request iterates over
+/// the whole table.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RendezvousEntry {
     /// Hash of the endpoint's id, by [`mix`].
@@ -39,9 +39,10 @@
 }
 
 impl RendezvousEntry {
-    /// Returns the endpoint's rank for a mixed key. The endpoint with the lowest rank is the first candidate.
-    fn rank(&self, key: u64) -> f64 {
-        let uniform = (mix(key ^ self.endpoint_hash) >> 11) as f64 / (1_u64 << 53) as f64;
+    /// Returns the endpoint's rank for a hashed key. The endpoint with the lowest rank is the first
+    /// candidate.
+    fn rank(&self, hashed_key: u64) -> f64 {
+        let uniform = (mix(hashed_key ^ self.endpoint_hash) >> 11) as f64 / (1_u64 << 53) as f64;
         -(uniform.max(f64::MIN_POSITIVE)).ln() * self.inverse_weight
     }
 }
@@ -51,18 +52,20 @@
 pub(super) struct Selection<'a> {
     pub gate: SendGate<'a>,
     pub endpoints: &'a EndpointSet,
-    pub classes: &'a [ClassStatistics],
-    pub keys: &'a KeyFrequencySketch,
+    pub class_statistics: &'a [ClassStatistics],
+    pub key_frequencies: &'a KeyFrequencySketch,
     /// Attempts of this node that are in flight, over all endpoints.
     pub in_flight: u32,
     /// Mean utilization that the endpoints report, 0 to 1; 0 if no endpoint reports its load.
     pub fleet_utilization: f64,
-    /// This node has so small a part of the traffic that it has no attempt in flight at most endpoints.
+    /// This node has so small a part of the traffic that most endpoints have none of its attempts in
+    /// flight.
     pub sees_sparse_traffic: bool,
 }
 
 impl Selection<'_> {
-    /// Returns the index of the selected endpoint in the [`EndpointSet`], or `None` if no endpoint is usable.
+    /// Returns the index of the selected endpoint in the [`EndpointSet`], or `None` if no endpoint is
+    /// usable.
     pub fn select_endpoint(&self, rng: &mut fastrand::Rng) -> Option<usize> {
         let uniform_draw = rng.f64();
         let key = self.placement_key(rng);
@@ -82,27 +85,27 @@
         self.gate.is_usable(&self.endpoints[index])
     }
 
-    /// Returns the mixed key (see [`mix`]) by which the request is placed: a random one if the request has no
-    /// key.
+    /// Returns the hashed key (see [`mix`]) by which the request is placed: a random one if the request has
+    /// no key.
     ///
     /// A hot key is split into several subkeys, each with candidates of its own, because two candidates
     /// could not carry its traffic. A node notices an overloaded candidate by its own attempts in flight
-    /// there, but not if it has next to none in flight. So an idle node splits a key into the most subkeys; a
-    /// node whose attempts in flight number at least half of the endpoints does not split keys.
+    /// there, but not if it has next to none in flight. So an idle node splits a key into the most subkeys;
+    /// a node whose attempts in flight number at least half of the endpoints does not split keys.
     fn placement_key(&self, rng: &mut fastrand::Rng) -> u64 {
-        let key = self.gate.request.request.key.map_or_else(|| rng.u64(..), mix);
+        let key = self.gate.pending.request.key.map_or_else(|| rng.u64(..), mix);
         let endpoints = self.endpoints.placement().len();
         let idle_factor = (1.0 - 2.0 * f64::from(self.in_flight) / endpoints.max(1) as f64).max(0.0);
-        let assumed_requests = if self.sees_sparse_traffic { SPARSE_TRAFFIC_PRIOR_REQUESTS } else { 0.0 };
-        let share = self.keys.share(key, assumed_requests);
+        let prior_requests = if self.sees_sparse_traffic { SPARSE_TRAFFIC_PRIOR_REQUESTS } else { 0.0 };
+        let share = self.key_frequencies.share(key, prior_requests);
         let subkeys = 1.0 + idle_factor * SUBKEYS_PER_MEAN_SHARE * share * endpoints as f64;
         if subkeys < MIN_SUBKEYS { key } else { mix(key ^ rng.u64(..subkeys as u64)) }
     }
 
-    /// Returns the indexes of the two endpoints with the lowest ranks, lowest first. Skips endpoints at which
-    /// the request's class is an outlier: there it fails far more often than at the other endpoints.
+    /// Returns the indexes of the two endpoints with the lowest ranks, lowest first. Skips endpoints at
+    /// which the request's class is an outlier: there it fails far more often than at the other endpoints.
     fn candidates(&self, key: u64) -> [Option<usize>; 2] {
-        let class = self.gate.request.request.class;
+        let class = self.gate.pending.request.class;
         let mut best: [Option<usize>; 2] = [None; 2];
         let mut ranks = [f64::INFINITY; 2];
         for entry in self.endpoints.placement() {
@@ -120,7 +123,7 @@
     }
 
     fn is_class_outlier(&self, class: usize, index: usize) -> bool {
-        self.endpoints[index].class_failures.is_outlier(self.gate.now_ms, class, self.classes)
+        self.endpoints[index].class_failures.is_outlier(self.gate.now_ms, class, self.class_statistics)
     }
 
     /// Returns the index of the usable endpoint with the fewest attempts of this node in flight. Ties are
--- a/src/policy/send_gate.rs
+++ b/src/policy/send_gate.rs
@@ -15,8 +15,8 @@
 pub(super) struct SendGate<'a> {
     pub now_ms: f64,
     pub settings: &'a Settings,
-    pub slow_start: &'a SlowStartBudget,
-    pub request: &'a PendingRequest,
+    pub slow_start_budget: &'a SlowStartBudget,
+    pub pending: &'a PendingRequest,
 }
 
 impl SendGate<'_> {
@@ -27,25 +27,29 @@
         self.request_allows_attempt()
             && endpoint.in_service
             && self.repeat_window_ms(endpoint) > 0.0
-            && self.slow_start.allows_send(self.now_ms, &endpoint.slow_start, endpoint.served_per_second)
+            && self.slow_start_budget.allows_send(
+                self.now_ms,
+                &endpoint.slow_start,
+                endpoint.served_per_second,
+            )
     }
 
     /// Returns whether the request may have another attempt, at any endpoint: it is not finished, its
     /// deadline has not passed, its number of attempts is below the maximum and, if hedging is not allowed,
     /// it has no attempt in flight.
     fn request_allows_attempt(&self) -> bool {
-        let request = self.request;
-        !request.finished
-            && self.now_ms < request.request.deadline_ms
-            && (request.attempts.len() as u32) < self.settings.max_attempts
-            && (self.settings.hedging_allowed || !request.has_attempt_in_flight())
+        let pending = self.pending;
+        !pending.finished
+            && self.now_ms < pending.request.deadline_ms
+            && (pending.attempts.len() as u32) < self.settings.max_attempts
+            && (self.settings.hedging_allowed || !pending.has_attempt_in_flight())
     }
 
     /// Returns for how long an attempt at an endpoint may still begin, in milliseconds: infinite if the
     /// request cannot have run yet or a repeat does no harm, 0 or less if it may not be repeated there.
     pub fn repeat_window_ms(&self, endpoint: &Endpoint) -> f64 {
-        let class = self.settings.classes.get(self.request.request.class);
-        repeat_window_ms(self.now_ms, self.request, class, endpoint.location)
+        let class = self.settings.classes.get(self.pending.request.class);
+        repeat_window_ms(self.now_ms, self.pending, class, endpoint.location)
     }
 
     /// Returns whether selection may take an endpoint: [`SendGate::allows`] permits an attempt, the endpoint
@@ -54,8 +58,8 @@
     /// the attempt is then the trial.
     pub fn is_usable(&self, endpoint: &Endpoint) -> bool {
         let may_be_trial = endpoint.failures.is_trial_due(self.now_ms)
-            && self.settings.idempotency(self.request.request.class).allows_repeats();
-        let was_tried = self.request.attempts.iter().any(|attempt| attempt.endpoint == endpoint.id);
+            && self.settings.idempotency(self.pending.request.class).allows_repeats();
+        let was_tried = self.pending.attempts.iter().any(|attempt| attempt.endpoint == endpoint.id);
         (!endpoint.failures.is_congested() || may_be_trial)
             && !endpoint.limit.blocks(self.now_ms, endpoint.in_flight)
             && !was_tried
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -23,13 +23,13 @@
 /// Parameters derived from one set of settings.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Tuning {
-    /// N, the length of the failure window, in milliseconds. It is half of the slow-start time, so that a
-    /// failure has left the window before its cause recurs, but at least twice the longest latency
-    /// objective.
+    /// N, the length of the failure window, in milliseconds. It is half of the slow-start time, so that the
+    /// failures around one restart have left the window before the endpoint can have warmed up and
+    /// restarted again, but at least twice the longest latency objective.
     pub failure_window_ms: f64,
-    /// Whether there are more nodes than an endpoint is assumed to hold requests at once. Each node then
-    /// has no request in flight at most endpoints, and reaches them too rarely to learn much about one of
-    /// them within N.
+    /// Whether the number of nodes exceeds the number of requests that an endpoint is assumed to hold at
+    /// once. Most endpoints then have no request of a given node in flight, and the node sends requests to
+    /// each endpoint too rarely to learn much about it within N.
     pub sees_sparse_traffic: bool,
     /// Time between two runs of housekeeping, in milliseconds.
     pub housekeeping_interval_ms: f64,
