--- a/src/node/driver/pending_answer.rs
+++ b/src/node/driver/pending_answer.rs
@@ -49,8 +49,8 @@
     proxied: Rc<ProxiedRequest>,
     answer: oneshot::Receiver<Answer>,
     submitted_at: Instant,
-    /// When the request expires if its body is buffered. A request with a streamed body expires later: the
-    /// time from `submitted_at` until the last byte of the body has been forwarded is added.
+    /// The time at which a request with a buffered body expires. A request with a streamed body expires
+    /// later: the time from `submitted_at` until the last byte of the body has been forwarded is added.
     expires_at: Instant,
     /// Whether the request expired before it had an answer.
     has_expired: bool,
@@ -73,8 +73,8 @@
     pub async fn answer(mut self) -> Answer {
         let proxied = self.proxied.clone();
         let expiry = async {
-            // The time that a request with a streamed body has until its expiry counts from the end of the
-            // body, so the duration of the upload is added to `expires_at`.
+            // For a request with a streamed body, the time until the expiry is counted from the end of the
+            // body. The duration of the upload is therefore added to `expires_at`.
             let completed_at = proxied.wait_until_body_complete().await;
             let delay = completed_at.map(|at| at.saturating_duration_since(self.submitted_at));
             tokio::time::sleep_until((self.expires_at + delay.unwrap_or_default()).into()).await;
@@ -92,6 +92,7 @@
 
 impl Drop for PendingAnswer {
     fn drop(&mut self) {
+        // After a delivered answer, the ending is `ClientLeft` too; the driver then ignores the event.
         let ending = if self.has_expired { RequestEnding::Expired } else { RequestEnding::ClientLeft };
         self.driver.handle(DriverEvent::ClientWaitEnded(self.id, ending));
     }
--- a/src/node/frontend/connection.rs
+++ b/src/node/frontend/connection.rs
@@ -217,7 +217,8 @@
         let has_elapsed = client.head_timeout_elapsed();
         // If this task was polled late, there may be unread bytes that arrived in time. They are read before
         // one more check.
-        let needs_recheck = has_elapsed && !check.is_recheck && !client.socket.is_quiet();
+        let needs_recheck =
+            has_elapsed && !check.is_recheck && !client.socket.is_open_without_unread_bytes();
         check.is_recheck = needs_recheck;
         if has_elapsed && !needs_recheck {
             if client.socket.head_started_at().is_none() {
@@ -291,7 +292,7 @@
             parsed;
         tokio::select! {
             biased;
-            () = socket.peer_closed() => Err(ClientDisconnected),
+            () = socket.wait_until_peer_closed() => Err(ClientDisconnected),
             answer = async { self.driver.submit(request, proxied, deadline, expires_at).answer().await } => {
                 Ok(responses::from_answer(answer))
             }
--- a/src/node/frontend/eviction.rs
+++ b/src/node/frontend/eviction.rs
@@ -47,11 +47,12 @@
             ConnectionState::Serving => false,
             ConnectionState::Closing => true,
             ConnectionState::AwaitingFirstRequest => {
-                self.idle_for() > NEW_CONNECTION_GRACE && self.socket.is_quiet()
+                self.idle_for() > NEW_CONNECTION_GRACE && self.socket.is_open_without_unread_bytes()
             }
-            ConnectionState::Idle => self.socket.is_quiet(),
+            ConnectionState::Idle => self.socket.is_open_without_unread_bytes(),
             ConnectionState::ReadingRequest => {
-                self.partial_request_seen_for() > PARTIAL_REQUEST_TIMEOUT && self.socket.is_quiet()
+                self.partial_request_seen_for() > PARTIAL_REQUEST_TIMEOUT
+                    && self.socket.is_open_without_unread_bytes()
             }
         }
     }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -23,7 +23,8 @@
     /// Addresses of all nodes, by node index. Includes this node.
     pub nodes: Vec<SocketAddr>,
     /// The address of a datagram to all nodes at once; `None` if the network has no such address. The network
-    /// may also deliver the datagram to the node that sent it, which does not ignore it.
+    /// may also deliver the datagram to the node that sent it. The sender then receives its own message like
+    /// one of another node.
     pub broadcast: Option<SocketAddr>,
     /// Index of this node in `nodes`.
     pub own_index: u32,
@@ -41,9 +42,9 @@
 
     /// Returns the addresses to send a message to.
     ///
-    /// If `to` is the index of a node, this is the address of that node; there is none if the tier has no
-    /// such node. If `to` is `None`, it is the broadcast address or, without one, the addresses of all other
-    /// nodes.
+    /// If `to` is an index, returns the address of the node with this index, or no address if the tier has no
+    /// such node. If `to` is `None`, returns the broadcast address, or the addresses of all other nodes if
+    /// there is no broadcast address.
     fn recipients(&self, to: Option<u32>) -> Vec<SocketAddr> {
         match (to, self.broadcast) {
             (Some(index), _) => self.nodes.get(index as usize).copied().into_iter().collect(),
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -46,14 +46,16 @@
 /// The maximum size of a connection's buffer, in bytes. No buffered body is longer, so more would be of no
 /// use.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
-/// The interval at which the node sweeps idle connections to endpoints and observes the wall clock.
+/// The interval at which the node closes idle connections that can no longer be reused, and reads the wall
+/// clock to notice steps of it.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// The longest class deadline, limited to this value, determines how long the shutdown may take, in
-/// milliseconds. SIGKILL follows SIGTERM after the limited deadline and a further 0.7 s.
+/// Upper bound of the longest class deadline in the calculation of the shutdown time, in milliseconds.
+/// SIGKILL follows SIGTERM after the longest class deadline, limited to this value, and a further 0.7 s.
 const MAX_SHUTDOWN_DEADLINE_MS: f64 = 3000.0;
-/// After SIGTERM, the node waits for responses until the longest class deadline and then this time have
-/// passed. Then it fails the requests that are still open, because SIGKILL is near.
-const SHUTDOWN_ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Time that is added to the longest class deadline, limited to [`MAX_SHUTDOWN_DEADLINE_MS`]. The sum is the
+/// time after SIGTERM for which the node waits for responses. Then it fails the requests that are still open,
+/// because SIGKILL is near.
+const SHUTDOWN_EXTRA_ANSWER_TIME: Duration = Duration::from_millis(400);
 /// After the shutdown has failed the open requests, it waits for at most this time until their responses are
 /// written.
 const SHUTDOWN_WRITE_TIME: Duration = Duration::from_millis(100);
@@ -83,7 +85,7 @@
 
 /// The sockets on which the node receives connections and datagrams.
 struct Sockets {
-    clients: TcpListener,
+    client_listener: TcpListener,
     /// When this process began to listen for clients. `None` if it inherited the socket: connections may have
     /// waited in its accept queue before the process started.
     listening_since: Option<Instant>,
@@ -108,7 +110,7 @@
 /// # Errors
 /// The node cannot start.
 pub async fn run(inherited_listener: Option<std::net::TcpListener>) -> Result<(), StartupError> {
-    // The handlers come first, because the default action of both signals ends the process.
+    // The handlers come first, because the default action of SIGTERM and SIGHUP ends the process.
     let mut terminate = retry_transient(SignalReceiver::sigterm).await.map_err(StartupError::Signals)?;
     let hangup = retry_transient(SignalReceiver::sighup).await.map_err(StartupError::Signals)?;
     let config = Config::load()?;
@@ -116,10 +118,10 @@
     let is_listener_shared = inherited_listener.is_some();
     let sockets = open_sockets(&config, inherited_listener).await?;
     let resources = divide_resources(&config, is_listener_shared);
-    let longest_deadline = longest_deadline(&config.settings.classes);
+    let capped_longest_deadline = capped_longest_deadline(&config.settings.classes);
     let node = Node::start(config, sockets, resources, is_listener_shared, hangup)?;
     terminate.recv().await;
-    node.stop(longest_deadline).await;
+    node.stop(capped_longest_deadline).await;
     Ok(())
 }
 
@@ -128,12 +130,12 @@
     inherited_listener: Option<std::net::TcpListener>,
 ) -> Result<Sockets, StartupError> {
     let listening_since = inherited_listener.is_none().then(Instant::now);
-    let clients = match inherited_listener {
+    let client_listener = match inherited_listener {
         Some(listener) => TcpListener::from_std(listener),
         None => retry_transient(|| listen(config.listen, CLIENT_BACKLOG)).await,
     };
-    let clients = clients.map_err(listen_error("listen", config.listen))?;
-    receive_timestamp::enable(&clients);
+    let client_listener = client_listener.map_err(listen_error("listen", config.listen))?;
+    receive_timestamp::enable(&client_listener);
     let admin = match config.admin_listen {
         Some(address) => {
             let bound = retry_transient(|| listener::listen(address, ADMIN_BACKLOG)).await;
@@ -150,7 +152,7 @@
         }
         None => None,
     };
-    Ok(Sockets { clients, listening_since, admin, peers })
+    Ok(Sockets { client_listener, listening_since, admin, peers })
 }
 
 fn listen_error(key: &'static str, address: SocketAddr) -> impl Fn(io::Error) -> StartupError {
@@ -186,7 +188,7 @@
 }
 
 /// Returns the longest deadline of all classes, but at most [`MAX_SHUTDOWN_DEADLINE_MS`].
-fn longest_deadline(classes: &[RequestClass]) -> Duration {
+fn capped_longest_deadline(classes: &[RequestClass]) -> Duration {
     let longest_ms = classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
     clamped_duration(longest_ms, MAX_SHUTDOWN_DEADLINE_MS)
 }
@@ -249,8 +251,8 @@
             let admin = AdminServer::new(driver.clone(), frontend.clone(), takeover, descriptors);
             spawn_local(admin.accept(listener));
         }
-        log_start(&config.name, config.listen, config.admin_listen, &sockets.clients);
-        let acceptor = Acceptor::new(sockets.clients, sockets.listening_since);
+        log_start(&config.name, config.listen, config.admin_listen, &sockets.client_listener);
+        let acceptor = Acceptor::new(sockets.client_listener, sockets.listening_since);
         let accepting_frontend = frontend.clone();
         let accept_task = spawn_local(async move { accepting_frontend.accept(acceptor).await });
         Ok(Node { driver, frontend, takeover, accept_task })
@@ -258,7 +260,7 @@
 
     /// Stops the node: waits for the responses to accepted requests as long as time allows, and fails the
     /// rest.
-    async fn stop(self, longest_deadline: Duration) {
+    async fn stop(self, capped_longest_deadline: Duration) {
         let Node { driver, frontend, takeover, accept_task } = self;
         let has_successor = takeover.is_some_and(|takeover| takeover.has_successor());
         let new_connections_text = if has_successor {
@@ -269,7 +271,7 @@
         log::line(&format!(
             "SIGTERM received: {new_connections_text}; answering open requests before the exit"
         ));
-        let answer_deadline = Instant::now() + longest_deadline + SHUTDOWN_ANSWER_TIME;
+        let answer_deadline = Instant::now() + capped_longest_deadline + SHUTDOWN_EXTRA_ANSWER_TIME;
         frontend.stop(has_successor);
         // Even if the accept loop has failed or has not ended in time, accepted requests must be answered.
         let _ = tokio::time::timeout_at(answer_deadline.into(), accept_task).await;
@@ -277,6 +279,7 @@
         // A failure response is better for the client than a connection that breaks when the process ends.
         driver.fail_unanswered();
         frontend.wind_down(Instant::now() + SHUTDOWN_WRITE_TIME).await;
+        // Only requests that were submitted after `fail_unanswered` can still have no answer.
         driver.count_unanswered();
         log::line_without_rate_limit(&format!("counters: {}", driver.counters.text()));
     }
@@ -298,8 +301,8 @@
     }
 }
 
-fn log_start(name: &str, configured: SocketAddr, admin: Option<SocketAddr>, clients: &TcpListener) {
-    let address = clients.local_addr().unwrap_or(configured);
+fn log_start(name: &str, configured: SocketAddr, admin: Option<SocketAddr>, client_listener: &TcpListener) {
+    let address = client_listener.local_addr().unwrap_or(configured);
     let admin = admin.map_or_else(String::new, |address| format!(", for operators on {address}"));
     log::line(&format!("{name} listens for clients on {address}{admin}"));
 }
@@ -314,7 +317,9 @@
 }
 
 /// Passes the cached endpoint list, which may be absent, to the driver. Returns the version of the list if
-/// deltas from that version on are enough to bring the list up to date.
+/// deltas from that version on are enough to bring the list up to date. Returns `None` if the node has to
+/// request the full list, because the cached one is absent, not usable, partial or empty, or has invalid
+/// entries.
 fn apply_cached_list(driver: &Rc<Driver>, cached_list: &Value, names: &NameIndex) -> Option<u64> {
     let list = EndpointList::parse(cached_list, names);
     let version = list.as_ref().and_then(EndpointList::base_version);
@@ -340,9 +345,8 @@
     }
 }
 
-/// Every [`SWEEP_INTERVAL`], closes the connections to endpoints that can no longer be reused, and observes
-/// the wall clock. A connection can no longer be reused after it has been idle for too long, or after its
-/// endpoint has closed it.
+/// Every [`SWEEP_INTERVAL`], closes those idle connections to endpoints that have been idle for too long or
+/// that their endpoints have closed. Also reads the wall clock, to notice steps of it.
 async fn sweep(upstream: Rc<Upstream>, driver: Rc<Driver>) {
     let mut ticks = tokio::time::interval(SWEEP_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/src/node/system/acceptor.rs
+++ b/src/node/system/acceptor.rs
@@ -26,9 +26,10 @@
     has_accepted: Cell<bool>,
     /// Whether the accept queue has been found empty since the last connection was accepted.
     was_empty: Cell<bool>,
-    /// When the accept queue was last known to be empty: the connection that was accepted last arrived after
-    /// this time, apart from a delay of the event loop. `None` if the queue is not known to have been empty
-    /// since this process started.
+    /// When the accept queue was last known to be empty. Set when a connection is accepted from a queue that
+    /// was empty before, or when this process begins to listen. The connection that was accepted last arrived
+    /// after this time, or before it by at most a delay of the event loop. `None` if the queue is not known
+    /// to have been empty since this process started.
     last_known_empty_at: Cell<Option<Instant>>,
 }
 
@@ -93,8 +94,8 @@
         poll_fn(|cx| {
             let accepted = self.listener.poll_accept(cx);
             match &accepted {
-                // Before the first connection, this result does not prove an empty queue: the poller may
-                // not have asked the system yet.
+                // Before the first connection, `Poll::Pending` does not prove that the queue is empty: the
+                // poller may not have asked the system yet.
                 Poll::Pending => self.was_empty.set(self.has_accepted.get()),
                 Poll::Ready(_) if self.was_empty.take() => {
                     self.last_known_empty_at.set(Some(Instant::now()))
--- a/src/node/system/length_headers.rs
+++ b/src/node/system/length_headers.rs
@@ -21,11 +21,11 @@
     /// Whether the head has a line that is not empty. After that, an empty line ends the head.
     has_line: bool,
     /// Whether the head has ended.
-    is_in_body: bool,
+    head_has_ended: bool,
 }
 
 impl LengthHeaderCounter {
-    /// Returns a counter for the next head, which continues the count.
+    /// Returns a counter that scans the next head. Its count starts at the count of this counter.
     pub fn expect_head(self) -> LengthHeaderCounter {
         LengthHeaderCounter { count: self.count, ..LengthHeaderCounter::default() }
     }
@@ -35,10 +35,11 @@
         self.count
     }
 
-    /// Scans bytes that were received next.
+    /// Scans the bytes that were received after those of the previous call. Ignores bytes after the end of
+    /// the head.
     pub fn record(&mut self, bytes: &[u8]) {
         for byte in bytes {
-            if self.is_in_body {
+            if self.head_has_ended {
                 return;
             }
             self.record_byte(*byte);
@@ -47,7 +48,7 @@
 
     fn record_byte(&mut self, byte: u8) {
         match byte {
-            b'\n' if self.line_bytes == 0 && self.has_line => self.is_in_body = true,
+            b'\n' if self.line_bytes == 0 && self.has_line => self.head_has_ended = true,
             b'\n' => self.line_bytes = 0,
             b'\r' => {}
             _ => {
--- a/src/node/system/socket.rs
+++ b/src/node/system/socket.rs
@@ -104,9 +104,10 @@
         }
     }
 
-    /// Limits the unsent bytes in the system's send buffer, so that the progress of a slow client shows in
-    /// how much can be written. Without the limit, megabytes wait in that buffer, and nothing can be
-    /// written for many seconds although the client is reading.
+    /// Limits the unsent bytes in the system's send buffer. The socket then becomes writable again soon after
+    /// a slow client has read some bytes, so that the node notices the client's progress. Without the limit,
+    /// megabytes wait in that buffer, and nothing can be written for many seconds although the client is
+    /// reading.
     pub fn limit_unsent_bytes(&self) {
         // If this fails, a slow client is harder to distinguish from a stalled one.
         let _ = socket2::SockRef::from(&self.0.stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES);
@@ -122,8 +123,8 @@
 
     /// Waits until the peer has closed its sending side or reset the connection, even if bytes that it sent
     /// before are still unread.
-    pub async fn peer_closed(&self) {
-        // Interest in urgent data alone: unread bytes do not end this wait, but a close or reset does.
+    pub async fn wait_until_peer_closed(&self) {
+        // With interest in urgent data alone, unread bytes do not end this wait, but a close or reset does.
         match self.0.stream.ready(Interest::PRIORITY).await {
             Ok(ready) if !ready.is_read_closed() => std::future::pending().await,
             _ => {}
@@ -132,7 +133,7 @@
 
     /// Returns `true` if the socket has no unread bytes and the peer has neither closed nor reset the
     /// connection. Asks the system, because the poller may not have reported the latest state yet.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_open_without_unread_bytes(&self) -> bool {
         let mut byte = [std::mem::MaybeUninit::uninit()];
         loop {
             match socket2::SockRef::from(&self.0.stream).peek(&mut byte) {
--- a/src/node/upstream/attempt.rs
+++ b/src/node/upstream/attempt.rs
@@ -159,7 +159,7 @@
     let overdue = async {
         attempt.wait_until_overdue().await;
         // Bytes that the kernel holds by now arrived in time, even if this task is polled late.
-        if !socket.is_quiet() {
+        if !socket.is_open_without_unread_bytes() {
             tokio::time::sleep(OVERDUE_READ_TIME).await;
         }
     };
--- a/src/node/upstream/connection.rs
+++ b/src/node/upstream/connection.rs
@@ -226,7 +226,7 @@
     /// Returns whether the connection is open at both ends and has nothing to read. Anything to read on an
     /// idle connection is the other side's close, or bytes that belong to no response.
     pub fn is_alive(&self) -> bool {
-        self.connection.is_some() && !self.sender.is_closed() && self.socket.is_quiet()
+        self.connection.is_some() && !self.sender.is_closed() && self.socket.is_open_without_unread_bytes()
     }
 
     /// Returns whether the previous response has ended and the connection can send the next request.
