--- a/fault-soak/src/fault_injection.rs
+++ b/fault-soak/src/fault_injection.rs
@@ -67,7 +67,7 @@
             Fault::StepClock { by_ms } => self.step_clock(by_ms),
             Fault::InterruptedCalls { node, .. }
             | Fault::SocketFailures { node, .. }
-            | Fault::HeldWrites { node, .. }
+            | Fault::DelayedWrites { node, .. }
             | Fault::DiskFailures { node, .. } => inject_at_system(&self.nodes[node], fault).await,
         }
     }
@@ -314,7 +314,7 @@
                 node.inject_syscall_fault(FaultSetting::FailedConnect, one_in, duration),
             );
         }
-        Fault::HeldWrites { one_in, for_ms, .. } => {
+        Fault::DelayedWrites { one_in, for_ms, .. } => {
             node.inject_syscall_fault(FaultSetting::DelayedSend, one_in, milliseconds(for_ms)).await;
         }
         Fault::DiskFailures { for_ms, .. } => {
--- a/fault-soak/src/oracle/mod.rs
+++ b/fault-soak/src/oracle/mod.rs
@@ -12,7 +12,7 @@
 use std::collections::HashMap;
 
 /// The longest time by which the fault injection delays a write after the process has read its clock.
-const HELD_WRITE_SLACK_SECONDS: f64 = 0.15;
+const DELAYED_WRITE_SLACK_SECONDS: f64 = 0.15;
 /// The delay that loopback and the scheduling of this program add to an observed time.
 const LOOPBACK_SLACK_SECONDS: f64 = 0.05;
 /// How long before an observation a stall of this program can end and still delay the observed time.
--- a/fault-soak/src/oracle/request_rules.rs
+++ b/fault-soak/src/oracle/request_rules.rs
@@ -1,6 +1,6 @@
 //! The rules for one request and its attempts.
 
-use super::{Checker, HELD_WRITE_SLACK_SECONDS, Violation};
+use super::{Checker, DELAYED_WRITE_SLACK_SECONDS, Violation};
 use crate::record::{ClientRequest, ClientResponse, ConnectionClose, Rule, ServerAttempt};
 use crate::settings::{DEDUPLICATION_WINDOW, MAX_ATTEMPTS, RequestClass};
 
@@ -171,7 +171,7 @@
         let at = attempt.first_byte_at;
         let elapsed = at - history.request.abandoned_at?;
         let detail = format!("sent {elapsed:.3} s after its client closed the connection");
-        (elapsed > ABANDONED_SLACK_SECONDS + HELD_WRITE_SLACK_SECONDS + self.slack(at))
+        (elapsed > ABANDONED_SLACK_SECONDS + DELAYED_WRITE_SLACK_SECONDS + self.slack(at))
             .then(|| history.violation(at, Rule::AbandonedRequest, &detail))
     }
 }
--- a/fault-soak/src/oracle/server_rules.rs
+++ b/fault-soak/src/oracle/server_rules.rs
@@ -1,6 +1,6 @@
 //! The rules for the requests that a server receives.
 
-use super::{Checker, HELD_WRITE_SLACK_SECONDS, Violation};
+use super::{Checker, DELAYED_WRITE_SLACK_SECONDS, Violation};
 use crate::record::{ClientRequest, Rule, ServerAttempt, ServerChange, ServerChangeRecord};
 use crate::server::{CORES, MEAN_SERVICE_TIME};
 use crate::settings::{
@@ -31,7 +31,7 @@
     /// For how many seconds after a node learned that a server is out of service its attempts may still
     /// arrive there.
     fn grace(&self, at: f64) -> f64 {
-        DRAIN_GRACE.as_secs_f64() + HELD_WRITE_SLACK_SECONDS + self.slack(at)
+        DRAIN_GRACE.as_secs_f64() + DELAYED_WRITE_SLACK_SECONDS + self.slack(at)
     }
 
     /// [`Rule::WithdrawnServer`]: a server that was withdrawn receives no new requests.
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -31,8 +31,8 @@
 const MAX_STALL_SECONDS: f64 = 0.3;
 /// The time between two measurements of the stalls of this program.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// How long [`crate::schedule::Fault::HeldWrites`] delays a write.
-const HELD_WRITE_MS: i64 = 150;
+/// How long [`crate::schedule::Fault::DelayedWrites`] delays a write.
+const WRITE_DELAY_MS: i64 = 150;
 /// How many bytes a shortened read or write transfers.
 const SHORT_IO_BYTES: i64 = 7;
 /// The number of threads that run the simulated clients, servers and discovery.
@@ -244,7 +244,7 @@
     let node = |(index, addresses)| {
         let faults = Arc::new(SyscallFaults::new(plan.seed as i64 * 1000 + index as i64));
         faults.set(FaultSetting::ShortIoBytes, SHORT_IO_BYTES);
-        faults.set(FaultSetting::DelayMs, HELD_WRITE_MS);
+        faults.set(FaultSetting::DelayMs, WRITE_DELAY_MS);
         Node::new(index, addresses, index >= first_persistent, faults, deployment.clone())
     };
     addresses.into_iter().enumerate().map(node).collect()
--- a/fault-soak/src/schedule.rs
+++ b/fault-soak/src/schedule.rs
@@ -90,7 +90,7 @@
     /// Discovery keeps its connections open but does not respond, neither to calls that already wait for a
     /// change of the list nor to new ones.
     DiscoverySilent { for_ms: u64 },
-    /// Discovery restarts the numbering of its versions at a lower number.
+    /// Discovery restarts the version numbers of the endpoint list at a lower number.
     #[serde(rename = "count-anew")]
     RestartVersions,
     /// Clients shorten the pauses between their requests, so that up to two thirds more requests arrive.
@@ -107,18 +107,18 @@
     IdleConnections { node: usize, count: usize },
     /// Steps the wall clock of all nodes.
     StepClock { by_ms: i64 },
-    /// Reads and writes on sockets are interrupted or transfer only a few bytes, and waits for events are
-    /// interrupted.
+    /// Reads and writes on sockets are interrupted or transfer only a few bytes. The system calls that wait
+    /// for events are interrupted too.
     #[serde(rename = "interrupt")]
     InterruptedCalls { node: usize, one_in: i64, for_ms: u64 },
     /// The system calls `accept`, `socket` and `connect` fail.
     #[serde(rename = "local-failures")]
     SocketFailures { node: usize, one_in: i64, for_ms: u64 },
     /// Writes to TCP sockets are delayed. Before the node writes a request to a server, it reads its clock to
-    /// decide whether the request may still be sent. A delayed write leaves later than that decision
-    /// assumes, as if the process had been suspended between the two.
+    /// decide whether the request may still be sent. The delay comes after this decision, as if the process
+    /// had been suspended between the decision and the write.
     #[serde(rename = "slow-writes")]
-    HeldWrites { node: usize, one_in: i64, for_ms: u64 },
+    DelayedWrites { node: usize, one_in: i64, for_ms: u64 },
     /// Writes, syncs and renames of files fail.
     #[serde(rename = "disk-fails")]
     DiskFailures { node: usize, for_ms: u64 },
@@ -218,7 +218,7 @@
         _ => match rng.u32(..4) {
             0 => Fault::InterruptedCalls { node, one_in: rng.i64(5..20), for_ms },
             1 => Fault::SocketFailures { node, one_in: rng.i64(4..20), for_ms },
-            2 => Fault::HeldWrites { node, one_in: rng.i64(20..200), for_ms },
+            2 => Fault::DelayedWrites { node, one_in: rng.i64(20..200), for_ms },
             _ => Fault::DiskFailures { node: persistent, for_ms },
         },
     }
--- a/fault-soak/src/server.rs
+++ b/fault-soak/src/server.rs
@@ -116,7 +116,7 @@
             let Some(id) = message.header("x-trace-id").and_then(|id| u64::from_str_radix(id, 16).ok())
             else {
                 // Without a valid id, the request cannot be matched with one that a client sent. It therefore
-                // counts as a request that no client sent, which breaks this rule too.
+                // counts as a request that no client sent, which `DuplicateExecution` forbids too.
                 self.record.record_violation(
                     crate::record::Rule::DuplicateExecution,
                     format!("a server received a request without a valid X-Trace-Id: {message:?}"),
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -19,10 +19,11 @@
 }
 
 /// For how long after a request a repeat with the same idempotency key is harmless. The settings tell the
-/// nodes that all servers drop repeats within this time. The simulated servers run them, and the oracle
-/// reports repeats that arrive later.
+/// nodes that all servers drop repeats within this time. The simulated servers do not drop repeats. The
+/// oracle accepts repeats within this time, and reports those that arrive later.
 pub const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(2000);
-/// The time within which a node must stop sending requests to a server that is withdrawn.
+/// The time within which a node must stop sending requests to a server that discovery reports as draining or
+/// removed, or that an admin command disables.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(750);
 /// The time that a restarted server takes to reach its full capacity.
 pub const SLOW_START_TIME: Duration = Duration::from_secs(6);
@@ -97,18 +98,21 @@
 /// The settings of the node with this index, in a deployment of `node_count` nodes.
 ///
 /// The JSON keys, such as `fallMultiple` and `mustAskInMs`, are those of the node's settings file;
-/// `src/settings_file.rs` maps them to the names that the code uses. `rif` is a name of the requests in
-/// flight in load reports, which `src/load_report_text.rs` maps.
+/// `src/settings_file.rs` maps them to the names that the code uses. `rif` is the name under which the
+/// servers report their requests in flight; `src/load_report_text.rs` reads it.
 pub fn settings(discovery: DiscoveryMode, node_count: usize, index: usize) -> Value {
     let mode = match discovery {
         DiscoveryMode::Push => "pushed",
         DiscoveryMode::Poll => "on_request",
     };
+    // `value` is the priority weight of the class.
     let class = |class: RequestClass, semantics: &str, objective_ms: u32, value: u32| {
         json!({"name": class.name(), "semantics": semantics, "group": "all", "objectiveMs": objective_ms,
                "hardLimitMs": class.max_timeout().as_millis() as u64, "value": value,
                "keyTtlMs": DEDUPLICATION_WINDOW.as_millis() as u64})
     };
+    // `secondCopies` allows hedged requests. `mustAskInMs` is the longest time between two polls of
+    // discovery.
     json!({
         "areas": ["a"], "zone": "a", "instances": node_count, "slotNo": index, "tickMs": 5.0,
         "membershipMode": mode,
@@ -140,15 +144,15 @@
 /// The parts of the configuration that belong to a single process.
 #[derive(Clone, Debug)]
 pub struct ProcessParameters {
-    /// The name of its node.
+    /// The name of the process's node.
     pub name: String,
-    /// Where it calls discovery.
+    /// The address at which the process calls discovery.
     pub discovery: SocketAddr,
-    /// Where it accepts admin commands.
+    /// The address at which the process accepts admin commands.
     pub admin: SocketAddr,
-    /// The seed of its random numbers.
+    /// The seed of the random numbers of the process.
     pub seed: u64,
-    /// The number of descriptors that it may hold.
+    /// The number of descriptors that the process may hold.
     pub max_descriptors: usize,
 }
 
